--- a/src/main/java/io/shallotspur/platform/CallerIngress.java
+++ b/src/main/java/io/shallotspur/platform/CallerIngress.java
@@ -30,42 +30,42 @@
 import io.shallotspur.route.RouteTable;
 
 /**
- * Takes callers' requests over HTTP. Confined to the event loop.
+ * HTTP server for the requests of callers. Confined to the event loop.
  */
 final class CallerIngress {
 
 	private static final int BAD_REQUEST = 400;
 
-	private static final int TOO_LARGE = 413;
+	private static final int CONTENT_TOO_LARGE = 413;
 
-	// The decoder's limit is set when a connection is made, before the configuration is
-	// known; the operator's own is checked afterwards, bytes.
-	private static final int DECODER_HEADER_BYTES = 64 << 10;
+	// In bytes. The decoder's limit is fixed when a connection opens, which may be before
+	// the configuration is known; the operator's limit is checked after decoding.
+	private static final int MAX_DECODER_HEADER_BYTES = 64 << 10;
 
 	private static final int HEADERS_TOO_LARGE = 431;
 
-	// Callers reuse connections for most of the idle time that the operator sets, which
-	// is not known when they connect. Closed before that, a connection could meet the
-	// next request on its way. A few times the usual 15 s.
-	private static final Duration IDLE_LIMIT = Duration.ofSeconds(60);
+	// Four times the usual 15 s. Callers reuse a connection for most of the idle timeout
+	// that the operator configures, which is not known when they connect. A shorter
+	// timeout here could close the connection while the next request is in transit.
+	private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(60);
 
-	// A caller that sends its request more slowly is answered 408: it would hold a
-	// connection for nothing. Five times what operators allow for the headers.
-	private static final Duration READ_LIMIT = Duration.ofSeconds(15);
+	// A caller that takes longer to send its request gets a 408, so that slow senders do
+	// not occupy connections. Five times what operators allow for the headers.
+	private static final Duration REQUEST_READ_TIMEOUT = Duration.ofSeconds(15);
 
 	private final Endpoint listen;
 
-	private final Loop loop;
+	private final VmEventLoop loop;
 
 	private final Gateway gateway;
 
 	private final Set<Channel> connections = new HashSet<>();
 
-	private final Set<Channel> busy = new HashSet<>();
+	private final Set<Channel> activeConnections = new HashSet<>();
 
-	private boolean closing;
+	private boolean draining;
 
-	CallerIngress(Endpoint listen, Loop loop, Gateway gateway) {
+	CallerIngress(Endpoint listen, VmEventLoop loop, Gateway gateway) {
 		this.listen = listen;
 		this.loop = loop;
 		this.gateway = gateway;
@@ -76,52 +76,56 @@
 			.host(this.listen.host())
 			.port(this.listen.port())
 			.runOn(this.loop.resources(), false)
-			.httpRequestDecoder((d) -> d.maxHeaderSize(DECODER_HEADER_BYTES).maxInitialLineLength(DECODER_HEADER_BYTES))
-			.idleTimeout(IDLE_LIMIT)
-			.requestTimeout(READ_LIMIT)
+			.httpRequestDecoder(
+					(d) -> d.maxHeaderSize(MAX_DECODER_HEADER_BYTES).maxInitialLineLength(MAX_DECODER_HEADER_BYTES))
+			.idleTimeout(IDLE_TIMEOUT)
+			.requestTimeout(REQUEST_READ_TIMEOUT)
 			.childOption(ChannelOption.TCP_NODELAY, true)
-			.doOnConnection(this::connected)
+			.doOnConnection(this::onConnection)
 			.handle(this::handle)
 			.bind();
 	}
 
-	private void connected(Connection c) {
+	private void onConnection(Connection c) {
 		Channel ch = c.channel();
 		this.connections.add(ch);
 		ch.closeFuture().addListener((f) -> this.connections.remove(ch));
 	}
 
 	/**
-	 * Marks all answers from now on as the last ones of their connections.
+	 * Sends {@code Connection: close} with every response from now on.
 	 */
-	void closeAfterAnswers() {
-		this.closing = true;
+	void closeAfterResponses() {
+		this.draining = true;
 	}
 
 	/**
-	 * Closes the connections that wait for no answer.
+	 * Closes the connections that have no request in progress.
 	 */
 	void closeIdle() {
-		List.copyOf(this.connections).stream().filter((c) -> !this.busy.contains(c)).forEach(Channel::close);
+		List.copyOf(this.connections)
+			.stream()
+			.filter((c) -> !this.activeConnections.contains(c))
+			.forEach(Channel::close);
 	}
 
 	private Mono<Void> handle(HttpServerRequest req, HttpServerResponse res) {
 		IngressLimits limits = this.gateway.table().map(RouteTable::limits).orElse(IngressLimits.DEFAULT);
-		CallerExchange answer = new CallerExchange(res, () -> this.closing);
+		HttpCallerResponse response = new HttpCallerResponse(res, () -> this.draining);
 		if (headerBytes(req) > limits.maxHeaderBytes()) {
-			return refuse(answer, res, HEADERS_TOO_LARGE);
+			return refuse(response, res, HEADERS_TOO_LARGE);
 		}
 		String length = req.requestHeaders().get(HttpHeaderNames.CONTENT_LENGTH);
 		if (length != null && length.matches("\\d{1,18}") && Long.parseLong(length) > limits.maxBodyBytes()) {
-			return refuse(answer, res, TOO_LARGE);
+			return refuse(response, res, CONTENT_TOO_LARGE);
 		}
 		ByteArrayOutputStream body = new ByteArrayOutputStream();
 		return req.receive()
 			.asByteArray()
 			.doOnNext(body::writeBytes)
 			.takeUntil((b) -> body.size() > limits.maxBodyBytes())
-			.then(Mono.defer(() -> (body.size() > limits.maxBodyBytes()) ? refuse(answer, res, TOO_LARGE)
-					: relay(req, res, body.toByteArray(), answer)));
+			.then(Mono.defer(() -> (body.size() > limits.maxBodyBytes()) ? refuse(response, res, CONTENT_TOO_LARGE)
+					: relay(req, res, body.toByteArray(), response)));
 	}
 
 	private static int headerBytes(HttpServerRequest req) {
@@ -132,34 +136,34 @@
 		return n;
 	}
 
-	private Mono<Void> relay(HttpServerRequest req, HttpServerResponse res, byte[] body, CallerExchange answer) {
+	private Mono<Void> relay(HttpServerRequest req, HttpServerResponse res, byte[] body, HttpCallerResponse response) {
 		RelayRequest r;
 		try {
 			r = RequestDecoder.decode(req.method().name(), req.uri(), req.requestHeaders(), body);
 		}
 		catch (InputException ex) {
 			Logger.info("[caller] malformed request seen=\"{}\"", ex.getMessage());
-			return refuse(answer, res, BAD_REQUEST);
+			return refuse(response, res, BAD_REQUEST);
 		}
-		res.withConnection((c) -> watch(c.channel(), r, answer));
-		return answer.done();
+		res.withConnection((c) -> dispatch(c.channel(), r, response));
+		return response.completion();
 	}
 
-	private void watch(Channel c, RelayRequest r, CallerExchange answer) {
-		this.busy.add(c);
-		Runnable gone = this.gateway.handle(r, answer);
-		ChannelFutureListener l = (f) -> gone.run();
-		c.closeFuture().addListener(l);
-		answer.onDone(() -> {
-			this.busy.remove(c);
-			c.closeFuture().removeListener(l);
+	private void dispatch(Channel c, RelayRequest r, HttpCallerResponse response) {
+		this.activeConnections.add(c);
+		Runnable onDisconnect = this.gateway.handle(r, response);
+		ChannelFutureListener closeListener = (f) -> onDisconnect.run();
+		c.closeFuture().addListener(closeListener);
+		response.onDone(() -> {
+			this.activeConnections.remove(c);
+			c.closeFuture().removeListener(closeListener);
 		});
 	}
 
-	private Mono<Void> refuse(CallerExchange answer, HttpServerResponse res, int status) {
+	private Mono<Void> refuse(HttpCallerResponse response, HttpServerResponse res, int status) {
 		res.header(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-		answer.refuse(new RelayRefusal(status, RefusalReason.BAD_REQUEST, 0));
-		return answer.done();
+		response.refuse(new RelayRefusal(status, RefusalReason.BAD_REQUEST, 0));
+		return response.completion();
 	}
 
 }
--- a/src/main/java/io/shallotspur/platform/ConfigDecoder.java
+++ b/src/main/java/io/shallotspur/platform/ConfigDecoder.java
@@ -23,22 +23,22 @@
 import io.shallotspur.route.UpstreamSpec;
 
 /**
- * Decodes the operator's configuration. Stateless. Fields that are not known are left
- * aside: new ones may come.
+ * Decodes the operator's configuration. Stateless. Unknown fields are ignored, so that
+ * newer configurations can add fields.
  */
 final class ConfigDecoder {
 
 	private static final double MS_PER_S = 1_000;
 
-	// A route that says nothing of a timeout: as long as the longest callers wait, ms.
-	private static final long NO_TIMEOUT_MS = 60_000;
+	// For routes without a timeout, ms: the longest time that callers wait.
+	private static final long DEFAULT_TIMEOUT_MS = 60_000;
 
 	private ConfigDecoder() {
 	}
 
 	static RouteTable decode(JsonNode n) throws InputException {
 		if (!n.path("version").isIntegralNumber() || !n.path("routes").isArray() || !n.path("services").isArray()) {
-			throw new InputException("The configuration lacks a version, routes or upstreams.", Names.CONFIG_KEY);
+			throw new InputException("The configuration is missing its version, routes or services.", PlatformNames.CONFIG_KEY);
 		}
 		List<Route> routes = new ArrayList<>();
 		for (JsonNode r : n.path("routes")) {
@@ -60,10 +60,11 @@
 		List<RouteTarget> targets = targets(r);
 		String prefix = r.path("prefix").asText();
 		if (targets.isEmpty() || !prefix.startsWith("/")) {
-			throw new InputException("A route has no upstream or no prefix.", Names.CONFIG_KEY + " routes " + name);
+			throw new InputException("A route has no service or its prefix does not start with a slash.",
+					PlatformNames.CONFIG_KEY + " routes " + name);
 		}
 		return new Route(name, r.path("host").asText().toLowerCase(Locale.ROOT), prefix, kind(r, name), targets,
-				r.path("timeout_ms").asLong(NO_TIMEOUT_MS), r.path("target_latency_ms").asLong(0),
+				r.path("timeout_ms").asLong(DEFAULT_TIMEOUT_MS), r.path("target_latency_ms").asLong(0),
 				r.path("target_gap_ms").asLong(0), r.path("priority").asInt(0),
 				Math.max(1, r.path("max_attempts").asInt(1)), r.path("allow_resume").asBoolean(false),
 				r.path("session_affinity").asBoolean(false), r.path("allow_anonymous").asBoolean(false));
@@ -73,10 +74,10 @@
 		return switch (r.path("kind").asText()) {
 			case "safe" -> RouteKind.SAFE;
 			case "streaming" -> RouteKind.STREAM;
-			// Whatever else a kind may come to mean, running at most once
-			// is always allowed.
+			// Unknown kinds are treated as unsafe: running a request at most once is
+			// valid for every kind.
 			case "unsafe" -> RouteKind.UNSAFE;
-			case "" -> throw new InputException("A route has no kind.", Names.CONFIG_KEY + " routes " + name);
+			case "" -> throw new InputException("A route has no kind.", PlatformNames.CONFIG_KEY + " routes " + name);
 			default -> RouteKind.UNSAFE;
 		};
 	}
@@ -123,11 +124,11 @@
 	}
 
 	private static IngressLimits limits(JsonNode l) {
-		IngressLimits d = IngressLimits.DEFAULT;
-		return new IngressLimits(l.path("max_header_bytes").asInt(d.maxHeaderBytes()),
-				l.path("max_body_bytes").asInt(d.maxBodyBytes()),
-				l.path("header_timeout_ms").asLong(d.headerTimeoutMs()),
-				l.path("idle_timeout_ms").asLong(d.idleTimeoutMs()));
+		IngressLimits defaults = IngressLimits.DEFAULT;
+		return new IngressLimits(l.path("max_header_bytes").asInt(defaults.maxHeaderBytes()),
+				l.path("max_body_bytes").asInt(defaults.maxBodyBytes()),
+				l.path("header_timeout_ms").asLong(defaults.headerTimeoutMs()),
+				l.path("idle_timeout_ms").asLong(defaults.idleTimeoutMs()));
 	}
 
 }
--- a/src/main/java/io/shallotspur/platform/ControlServers.java
+++ b/src/main/java/io/shallotspur/platform/ControlServers.java
@@ -21,17 +21,17 @@
 import io.shallotspur.gateway.EntryVms;
 
 /**
- * Answers whether the VM is ready, which addresses callers may use, and what it counts.
- * Confined to the event loop.
+ * HTTP servers for the readiness check, the entry VM addresses that callers may use, and
+ * the metrics. Confined to the event loop.
  */
 final class ControlServers {
 
-	// The most addresses of which callers take notice.
-	private static final int MOST_ADDRESSES = 64;
+	// Callers ignore further addresses.
+	private static final int MAX_ADDRESSES = 64;
 
 	private static final double MS_PER_S = 1_000;
 
-	private final Loop loop;
+	private final VmEventLoop loop;
 
 	private final EntryVms vms;
 
@@ -39,29 +39,32 @@
 
 	private final long ttlMs;
 
-	ControlServers(Loop loop, EntryVms vms, LongSupplier clock, long ttlMs) {
+	ControlServers(VmEventLoop loop, EntryVms vms, LongSupplier clock, long ttlMs) {
 		this.loop = loop;
 		this.vms = vms;
 		this.clock = clock;
 		this.ttlMs = ttlMs;
 	}
 
-	Mono<? extends DisposableServer> ready(Endpoint listen, BooleanSupplier ready) {
-		return http(listen).route((r) -> r.get(Names.READY_PATH, (req, res) -> res.status(status(ready)).send()))
+	Mono<? extends DisposableServer> readiness(Endpoint listen, BooleanSupplier ready) {
+		return httpServer(listen)
+			.route((r) -> r.get(PlatformNames.READINESS_PATH, (req, res) -> res.status(status(ready)).send()))
 			.bind();
 	}
 
-	Mono<? extends DisposableServer> locate(Endpoint listen, BooleanSupplier known) {
-		return http(listen).route((r) -> r.get(Names.LOCATE_PATH, (req, res) -> addresses(req, res, known))).bind();
+	Mono<? extends DisposableServer> locate(Endpoint listen, BooleanSupplier synced) {
+		return httpServer(listen)
+			.route((r) -> r.get(PlatformNames.LOCATE_PATH, (req, res) -> sendAddresses(req, res, synced)))
+			.bind();
 	}
 
 	Mono<? extends DisposableServer> metrics(Endpoint listen, Supplier<String> text) {
-		return http(listen).route((r) -> r.get("/metrics", (req,
+		return httpServer(listen).route((r) -> r.get("/metrics", (req,
 				res) -> res.header(HttpHeaderNames.CONTENT_TYPE, "text/plain").sendString(Mono.fromSupplier(text))))
 			.bind();
 	}
 
-	private HttpServer http(Endpoint listen) {
+	private HttpServer httpServer(Endpoint listen) {
 		return HttpServer.create().host(listen.host()).port(listen.port()).runOn(this.loop.resources(), false);
 	}
 
@@ -69,14 +72,14 @@
 		return ok.getAsBoolean() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
 	}
 
-	private Publisher<Void> addresses(HttpServerRequest req, HttpServerResponse res, BooleanSupplier known) {
+	private Publisher<Void> sendAddresses(HttpServerRequest req, HttpServerResponse res, BooleanSupplier synced) {
 		List<String> regions = new QueryStringDecoder(req.uri()).parameters().getOrDefault("region", List.of(""));
-		List<String> l = this.vms.forCaller(regions.get(0), MOST_ADDRESSES, this.clock.getAsLong());
-		if (!known.getAsBoolean() || l.isEmpty()) {
+		List<String> addresses = this.vms.forCaller(regions.get(0), MAX_ADDRESSES, this.clock.getAsLong());
+		if (!synced.getAsBoolean() || addresses.isEmpty()) {
 			return res.status(HttpResponseStatus.SERVICE_UNAVAILABLE).send();
 		}
-		ObjectNode n = EntryDecoder.JSON.createObjectNode();
-		l.forEach(n.putArray("addresses")::add);
+		ObjectNode n = StoreEntryCodec.JSON.createObjectNode();
+		addresses.forEach(n.putArray("addresses")::add);
 		n.put("ttl_s", this.ttlMs / MS_PER_S);
 		byte[] body = n.toString().getBytes(StandardCharsets.UTF_8);
 		return res.header(HttpHeaderNames.CONTENT_TYPE, "application/json")
--- a/src/main/java/io/shallotspur/platform/CallerExchange.java
+++ b/src/main/java/io/shallotspur/platform/HttpCallerResponse.java
@@ -21,45 +21,46 @@
 import io.shallotspur.gateway.RelayRefusal;
 
 /**
- * The answer to one caller over HTTP. Confined to the event loop.
+ * The HTTP response to one caller. Confined to the event loop.
  * <p>
- * Invariant: an answer of unknown length ends with its closing chunk only through
- * {@link #end}; {@link #breakOff} closes the connection before it.
+ * Invariant: a chunked response gets its final chunk only from {@link #end}.
+ * {@link #breakOff} closes the connection without it, so the caller sees that the
+ * response is incomplete.
  */
-final class CallerExchange implements CallerAnswer {
+final class HttpCallerResponse implements CallerAnswer {
 
 	private static final double MS_PER_S = 1_000;
 
 	private final HttpServerResponse response;
 
-	private final BooleanSupplier closing;
+	private final BooleanSupplier draining;
 
 	private final Sinks.One<Publisher<Void>> output = Sinks.one();
 
-	private final Sinks.Many<ByteBuf> parts = Sinks.many().unicast().onBackpressureBuffer();
+	private final Sinks.Many<ByteBuf> chunks = Sinks.many().unicast().onBackpressureBuffer();
 
-	private Runnable whenDone = () -> {
+	private Runnable doneCallback = () -> {
 	};
 
-	CallerExchange(HttpServerResponse response, BooleanSupplier closing) {
+	HttpCallerResponse(HttpServerResponse response, BooleanSupplier draining) {
 		this.response = response;
-		this.closing = closing;
+		this.draining = draining;
 	}
 
 	/**
-	 * Returns what the server waits for.
-	 * @return completes when the answer is written
+	 * Returns a signal for the server to wait for.
+	 * @return completes when the response is written
 	 */
-	Mono<Void> done() {
-		return this.output.asMono().flatMap(Mono::from).doFinally((s) -> this.whenDone.run());
+	Mono<Void> completion() {
+		return this.output.asMono().flatMap(Mono::from).doFinally((s) -> this.doneCallback.run());
 	}
 
 	/**
-	 * Says what is to be done when the answer is written or its connection is lost.
+	 * Sets the task to run when the response is written or its connection is lost.
 	 * @param task run once
 	 */
 	void onDone(Runnable task) {
-		this.whenDone = task;
+		this.doneCallback = task;
 	}
 
 	@Override
@@ -76,7 +77,8 @@
 			this.response.header(HttpHeaderNames.RETRY_AFTER,
 					String.format(Locale.ROOT, "%.3f", refusal.retryAfterMs() / MS_PER_S));
 		}
-		// What is left of a request that was not understood cannot be told from the next.
+		// The unread rest of a malformed request cannot be told apart from the next
+		// request on the connection.
 		if (refusal.code() == RefusalReason.BAD_REQUEST) {
 			this.response.header(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
 		}
@@ -86,18 +88,18 @@
 	@Override
 	public void begin(int status, List<HeaderField> headers) {
 		head(status, headers);
-		NettyOutbound out = this.response.send(this.parts.asFlux(), (b) -> true);
+		NettyOutbound out = this.response.send(this.chunks.asFlux(), (b) -> true);
 		this.output.tryEmitValue(out);
 	}
 
 	@Override
 	public void write(byte[] bytes) {
-		this.parts.tryEmitNext(Unpooled.wrappedBuffer(bytes));
+		this.chunks.tryEmitNext(Unpooled.wrappedBuffer(bytes));
 	}
 
 	@Override
 	public void end() {
-		this.parts.tryEmitComplete();
+		this.chunks.tryEmitComplete();
 	}
 
 	@Override
@@ -108,7 +110,7 @@
 	private void head(int status, List<HeaderField> headers) {
 		this.response.status(status);
 		headers.forEach((f) -> this.response.addHeader(f.name(), f.value()));
-		if (this.closing.getAsBoolean()) {
+		if (this.draining.getAsBoolean()) {
 			this.response.header(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
 		}
 	}
--- a/src/main/java/io/shallotspur/platform/HttpStagePort.java
+++ b/src/main/java/io/shallotspur/platform/HttpStagePort.java
@@ -18,7 +18,8 @@
 import io.shallotspur.stage.StageReport;
 
 /**
- * Orders to workers over the platform's HTTP. Confined to the event loop.
+ * Sends stage change orders to workers over the platform's HTTP protocol and reads their
+ * reports. Confined to the event loop.
  */
 final class HttpStagePort implements StagePort {
 
@@ -28,46 +29,47 @@
 
 	private static final int CONFLICT = 409;
 
-	private static final int LOWER_FENCE = 412;
+	private static final int PRECONDITION_FAILED = 412;
 
-	// A worker answers these in a few ms; one that does not in many times that is cut
-	// off or loses answers, ms.
+	// In ms. Workers respond within a few ms; one that takes many times longer is
+	// unreachable or its responses are being lost.
 	private static final long TIMEOUT_MS = 500;
 
 	private final WorkerClient workers;
 
-	private final Loop loop;
+	private final VmEventLoop loop;
 
 	/**
 	 * Creates a port.
 	 * @param workers the client
 	 * @param loop the event loop
 	 */
-	HttpStagePort(WorkerClient workers, Loop loop) {
+	HttpStagePort(WorkerClient workers, VmEventLoop loop) {
 		this.workers = workers;
 		this.loop = loop;
 	}
 
 	@Override
 	public Mono<StageReport> report(WorkerInfo worker) {
-		return this.workers.call(HttpMethod.GET, worker, Names.REPORT_PATH)
+		return this.workers.call(HttpMethod.GET, worker, PlatformNames.REPORT_PATH)
 			.responseSingle((r, content) -> content.asByteArray()
 				.defaultIfEmpty(new byte[0])
 				.flatMap((b) -> report(worker, r.status().code(), b)))
 			.timeout(Duration.ofMillis(TIMEOUT_MS), this.loop.scheduler())
-			.onErrorMap((ex) -> lost(worker, ex));
+			.onErrorMap((ex) -> workerLost(worker, ex));
 	}
 
 	private static Mono<StageReport> report(WorkerInfo worker, int status, byte[] body) {
 		try {
-			JsonNode n = (status == OK) ? EntryDecoder.JSON.readTree(body) : null;
-			Optional<WorkerStage> stage = (n != null) ? EntryDecoder.stage(n.path("stage").asText()) : Optional.empty();
+			JsonNode n = (status == OK) ? StoreEntryCodec.JSON.readTree(body) : null;
+			Optional<WorkerStage> stage = (n != null) ? StoreEntryCodec.parseStage(n.path("stage").asText())
+					: Optional.empty();
 			if (stage.isEmpty() || !n.path("sequence_number").isIntegralNumber()) {
 				return Mono.error(new IOException("status " + status));
 			}
-			// The number in a report counts orders; in the registry it counts heartbeats.
+			// In a report this field counts orders; in the registry it counts heartbeats.
 			return Mono.just(new StageReport(stage.get(), n.path("busy").asBoolean(),
-					n.path("sequence_number").asLong(), n.path(Names.STARTED_AT).asLong()));
+					n.path("sequence_number").asLong(), n.path(PlatformNames.STARTED_AT).asLong()));
 		}
 		catch (IOException ex) {
 			return Mono.error(ex);
@@ -76,31 +78,31 @@
 
 	@Override
 	public Mono<OrderResult> order(StageOrder o) {
-		ObjectNode n = EntryDecoder.JSON.createObjectNode()
+		ObjectNode n = StoreEntryCodec.JSON.createObjectNode()
 			.put("operation", "stage")
-			.put("stage", EntryDecoder.encode(o.stage()))
+			.put("stage", StoreEntryCodec.encode(o.stage()))
 			.put("holder", o.holder())
 			.put("fencing_token", o.fence())
 			.put("expected", o.expectedOrders());
-		return this.workers.post(o.worker(), Names.ORDER_PATH, n)
+		return this.workers.post(o.worker(), PlatformNames.ORDER_PATH, n)
 			.response()
 			.map((r) -> result(r.status().code()))
 			.timeout(Duration.ofMillis(TIMEOUT_MS), this.loop.scheduler())
-			.onErrorMap((ex) -> lost(o.worker(), ex));
+			.onErrorMap((ex) -> workerLost(o.worker(), ex));
 	}
 
 	private static OrderResult result(int status) {
 		return switch (status) {
 			case OK, ACCEPTED -> OrderResult.ACCEPTED;
 			case CONFLICT -> OrderResult.CONFLICT;
-			case LOWER_FENCE -> OrderResult.FENCED;
-			case AnswerDecoder.MISDIRECTED -> OrderResult.REPLACED;
+			case PRECONDITION_FAILED -> OrderResult.FENCED;
+			case ResponseHeadDecoder.MISDIRECTED -> OrderResult.REPLACED;
 			default -> OrderResult.REFUSED;
 		};
 	}
 
-	private static EngineLostException lost(WorkerInfo worker, Throwable ex) {
-		return new EngineLostException("The worker gave no answer: " + ex, worker.id(), ex);
+	private static EngineLostException workerLost(WorkerInfo worker, Throwable ex) {
+		return new EngineLostException("The worker did not respond: " + ex, worker.id(), ex);
 	}
 
 }
--- a/src/main/java/io/shallotspur/platform/HttpWorkerPort.java
+++ b/src/main/java/io/shallotspur/platform/HttpWorkerPort.java
@@ -39,59 +39,59 @@
 import io.shallotspur.gateway.WorkerStage;
 
 /**
- * Workers over the platform's HTTP. Confined to the event loop.
+ * Calls workers over the platform's HTTP protocol. Confined to the event loop.
  * <p>
- * Invariant: a failure is told as not sent only if no byte of the request was handed to a
- * connection; the HTTP client never repeats a request by itself.
+ * Invariant: a failure is reported as not sent only if no byte of the request was passed
+ * to a connection. The HTTP client never retries a request by itself.
  */
 final class HttpWorkerPort implements WorkerPort {
 
 	private static final int OK = 200;
 
-	// Workers are a millisecond away and take a new connection within another; one that
-	// takes this long is cut off or dark, ms.
+	// In ms. The round trip to a worker takes about 1 ms and accepting a connection
+	// another; a worker that needs this long is partitioned or down.
 	private static final int CONNECT_TIMEOUT_MS = 300;
 
-	// Reservations and what is given back are answered in a few ms; a worker that does
-	// not answer in many times that is cut off, ms.
-	private static final long SIDE_CALL_MS = 300;
+	// In ms. Workers respond to reservations and releases within a few ms; one that takes
+	// many times longer is partitioned.
+	private static final long CONTROL_CALL_TIMEOUT_MS = 300;
 
-	// Two VMs may serve all callers, and a worker run hundreds of requests at a time; the
-	// limit only keeps a dark worker from taking all descriptors, of which a process has
-	// some thousands.
-	private static final int CONNECTIONS_PER_WORKER = 512;
+	// Two VMs may have to serve all callers, and a worker can run hundreds of requests at
+	// once. The limit only prevents an unresponsive worker from using up the file
+	// descriptors, of which a process has a few thousand.
+	private static final int MAX_CONNECTIONS_PER_WORKER = 512;
 
-	// An idle connection is given up this long before the worker would close it, ms.
-	// Otherwise a request can meet the worker's close on the way, and nobody could tell
-	// whether it ran.
+	// In ms. Idle connections are closed this long before the worker would close them.
+	// Otherwise a request could cross with the worker's close, and it would be unknown
+	// whether the request ran.
 	private static final long IDLE_MARGIN_MS = 1_500;
 
-	private static final long MOST_IDLE_MS = 10_000;
+	private static final long MAX_IDLE_MS = 10_000;
 
-	private static final long LEAST_IDLE_MS = 300;
+	private static final long MIN_IDLE_MS = 300;
 
-	// A worker may answer before it has read a long body and take what follows on the
-	// connection for the rest of it. A longer body than this does not surely fit the
-	// socket buffers at once and gets a connection of its own, bytes.
-	private static final int SHARED_BODY_BYTES = 16 << 10;
+	// In bytes. A worker may respond before it has read a long body, and then parse the
+	// next request on the connection as the rest of that body. A larger body may not fit
+	// into the socket buffers at once and is sent on a connection of its own.
+	private static final int MAX_POOLED_BODY_BYTES = 16 << 10;
 
 	private final HttpClient client;
 
-	private final WorkerClient side;
+	private final WorkerClient controlClient;
 
-	private final Loop loop;
+	private final VmEventLoop loop;
 
-	private final Map<InetSocketAddress, Long> idleMs = new HashMap<>();
+	private final Map<InetSocketAddress, Long> idleTimeouts = new HashMap<>();
 
-	HttpWorkerPort(Loop loop) {
+	HttpWorkerPort(VmEventLoop loop) {
 		this.loop = loop;
 		ConnectionProvider pool = ConnectionProvider.builder("workers")
-			.maxConnections(CONNECTIONS_PER_WORKER)
+			.maxConnections(MAX_CONNECTIONS_PER_WORKER)
 			.pendingAcquireTimeout(Duration.ofMillis(CONNECT_TIMEOUT_MS))
 			.lifo()
-			.maxIdleTime(Duration.ofMillis(MOST_IDLE_MS))
-			.evictInBackground(Duration.ofMillis(LEAST_IDLE_MS))
-			.evictionPredicate((c, m) -> m.idleTime() > mostIdle(c.channel().remoteAddress()))
+			.maxIdleTime(Duration.ofMillis(MAX_IDLE_MS))
+			.evictInBackground(Duration.ofMillis(MIN_IDLE_MS))
+			.evictionPredicate((c, m) -> m.idleTime() > maxIdleMs(c.channel().remoteAddress()))
 			.build();
 		this.client = HttpClient.create(pool)
 			.runOn(loop.resources(), false)
@@ -100,75 +100,78 @@
 			.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
 			.option(ChannelOption.TCP_NODELAY, true)
 			.headers((h) -> h.remove(HttpHeaderNames.USER_AGENT));
-		this.side = new WorkerClient(this.client);
+		this.controlClient = new WorkerClient(this.client);
 	}
 
 	/**
-	 * Returns the client for calls that are not callers' requests.
+	 * Returns the client for control calls, such as reservations, reports and orders.
 	 * @return the client
 	 */
-	WorkerClient side() {
-		return this.side;
+	WorkerClient controlClient() {
+		return this.controlClient;
 	}
 
-	private long mostIdle(SocketAddress a) {
-		return this.idleMs.getOrDefault(a, MOST_IDLE_MS);
+	private long maxIdleMs(SocketAddress a) {
+		return this.idleTimeouts.getOrDefault(a, MAX_IDLE_MS);
 	}
 
 	@Override
 	public Exchange run(WorkerCall call, ExchangeListener listener) {
-		Sent sent = new Sent();
-		Disposable d = send(call, "", sent).response((r, content) -> {
+		SendState state = new SendState();
+		Disposable d = send(call, "", state).response((r, content) -> {
 			InetSocketAddress a = new InetSocketAddress(call.worker().host(), call.worker().port());
-			KeepAlive.idleMs(r.responseHeaders())
-				.ifPresent((ms) -> this.idleMs.put(a, Math.max(LEAST_IDLE_MS, ms - IDLE_MARGIN_MS)));
+			KeepAliveHeader.idleTimeoutMs(r.responseHeaders())
+				.ifPresent((ms) -> this.idleTimeouts.put(a, Math.max(MIN_IDLE_MS, ms - IDLE_MARGIN_MS)));
 			listener.onHead(head(call.request(), r));
 			return content.asByteArray();
-		}).subscribe(listener::onBytes, (ex) -> listener.onFailure(failure(sent, ex)), listener::onEnd);
+		}).subscribe(listener::onBytes, (ex) -> listener.onFailure(failure(state, ex)), listener::onEnd);
 		return d::dispose;
 	}
 
 	private static AnswerHead head(RelayRequest request, HttpClientResponse r) {
-		return AnswerDecoder.head(request.id(), r.status().code(), r.responseHeaders());
+		return ResponseHeadDecoder.head(request.id(), r.status().code(), r.responseHeaders());
 	}
 
-	private static ExchangeFailure failure(Sent sent, Throwable ex) {
-		return new ExchangeFailure(sent.yes, ex.toString());
+	private static ExchangeFailure failure(SendState state, Throwable ex) {
+		return new ExchangeFailure(state.sent, ex.toString());
 	}
 
 	@Override
 	public Exchange prefill(WorkerCall call, PrefillListener listener) {
-		Sent sent = new Sent();
-		Disposable d = send(call, EntryDecoder.encode(WorkerStage.PREFILL), sent)
+		SendState state = new SendState();
+		Disposable d = send(call, StoreEntryCodec.encode(WorkerStage.PREFILL), state)
 			.responseSingle((r, content) -> content.asByteArray()
 				.defaultIfEmpty(new byte[0])
-				.map((b) -> prefilled(call.request(), r, b)))
-			.subscribe((p) -> tell(p, listener), (ex) -> listener.onFailure(failure(sent, ex)));
+				.map((b) -> prefillResponse(call.request(), r, b)))
+			.subscribe((p) -> notifyListener(p, listener), (ex) -> listener.onFailure(failure(state, ex)));
 		return d::dispose;
 	}
 
-	private static Prefilled prefilled(RelayRequest request, HttpClientResponse r, byte[] body) {
+	private static PrefillResponse prefillResponse(RelayRequest request, HttpClientResponse r, byte[] body) {
 		AnswerHead head = head(request, r);
-		String handle = handle(head, body);
-		// Answers to prefills are not signed; one with a handle is the worker's.
-		boolean whole = !handle.isEmpty() && head.origin() != AnswerOrigin.FOREIGN;
-		return new Prefilled(head, handle, whole ? AnswerDecoder.news(r.responseHeaders(), true) : head.news());
+		String handle = kvHandle(head, body);
+		// Prefill responses are not signed; one with a KV handle is taken as the worker's
+		// own.
+		boolean complete = !handle.isEmpty() && head.origin() != AnswerOrigin.FOREIGN;
+		return new PrefillResponse(head, handle,
+				complete ? ResponseHeadDecoder.loadAndLimit(r.responseHeaders(), true) : head.news());
 	}
 
-	private static String handle(AnswerHead head, byte[] body) {
+	private static String kvHandle(AnswerHead head, byte[] body) {
 		try {
-			JsonNode n = EntryDecoder.JSON.readTree(body);
+			JsonNode n = StoreEntryCodec.JSON.readTree(body);
 			return (head.status() == OK) ? n.path("kv_handle").asText() : "";
 		}
 		catch (IOException ex) {
-			// Not an answer in the protocol: the same as none.
-			Logger.info("[platform] prefill answer left aside status={} seen=\"{}\"", head.status(), ex.toString());
+			// A response that is not JSON is treated like one without a handle.
+			Logger.info("[platform] invalid prefill response ignored status={} seen=\"{}\"", head.status(),
+					ex.toString());
 			return "";
 		}
 	}
 
-	private static void tell(Prefilled p, PrefillListener listener) {
-		listener.onNews(p.news());
+	private static void notifyListener(PrefillResponse p, PrefillListener listener) {
+		listener.onNews(p.loadAndLimit());
 		String status = "status " + p.head().status();
 		if (!p.handle().isEmpty() && p.head().origin() != AnswerOrigin.FOREIGN) {
 			listener.onReady(p.handle());
@@ -183,57 +186,59 @@
 
 	@Override
 	public void release(KvSource source) {
-		delete(source.worker(), Names.KV_HANDLE_PATH + source.handle());
+		delete(source.worker(), PlatformNames.KV_HANDLE_PATH + source.handle());
 	}
 
 	@Override
 	public void drop(WorkerInfo worker, String hold) {
-		delete(worker, Names.DROP_PATH + hold);
+		delete(worker, PlatformNames.RELEASE_PATH + hold);
 	}
 
 	private void delete(WorkerInfo worker, String path) {
-		this.side.call(HttpMethod.DELETE, worker, path)
+		this.controlClient.call(HttpMethod.DELETE, worker, path)
 			.response()
-			.timeout(Duration.ofMillis(SIDE_CALL_MS), this.loop.scheduler())
+			.timeout(Duration.ofMillis(CONTROL_CALL_TIMEOUT_MS), this.loop.scheduler())
 			.subscribe((r) -> {
-			}, (ex) -> Logger.info("[platform] not freed worker={} path={} seen=\"{}\"", worker.id(), path,
+			}, (ex) -> Logger.info("[platform] release failed worker={} path={} seen=\"{}\"", worker.id(), path,
 					ex.toString()));
 	}
 
 	@Override
 	public void hold(WorkerInfo worker, int tokens, long ttlMs, HoldListener listener) {
-		ObjectNode body = EntryDecoder.JSON.createObjectNode().put("tokens", tokens).put("ttl_ms", ttlMs);
-		this.side.post(worker, Names.HOLD_PATH, body)
-			.responseSingle(
-					(r, content) -> content.asByteArray().defaultIfEmpty(new byte[0]).map((b) -> holdAnswer(r, b)))
-			.timeout(Duration.ofMillis(SIDE_CALL_MS), this.loop.scheduler())
-			.subscribe((h) -> tell(h, listener), (ex) -> listener.onFailure(new ExchangeFailure(true, ex.toString())));
+		ObjectNode body = StoreEntryCodec.JSON.createObjectNode().put("tokens", tokens).put("ttl_ms", ttlMs);
+		this.controlClient.post(worker, PlatformNames.RESERVE_PATH, body)
+			.responseSingle((r,
+					content) -> content.asByteArray().defaultIfEmpty(new byte[0]).map((b) -> reservationResponse(r, b)))
+			.timeout(Duration.ofMillis(CONTROL_CALL_TIMEOUT_MS), this.loop.scheduler())
+			.subscribe((h) -> notifyListener(h, listener),
+					(ex) -> listener.onFailure(new ExchangeFailure(true, ex.toString())));
 	}
 
-	private static HoldAnswer holdAnswer(HttpClientResponse r, byte[] body) {
+	private static ReservationResponse reservationResponse(HttpClientResponse r, byte[] body) {
 		int status = r.status().code();
-		boolean other = status == AnswerDecoder.MISDIRECTED;
-		WorkerNews news = other ? WorkerNews.NONE : AnswerDecoder.news(r.responseHeaders(), false);
-		return new HoldAnswer(status, held(status, body), news);
+		boolean otherIncarnation = status == ResponseHeadDecoder.MISDIRECTED;
+		WorkerNews loadAndLimit = otherIncarnation ? WorkerNews.NONE
+				: ResponseHeadDecoder.loadAndLimit(r.responseHeaders(), false);
+		return new ReservationResponse(status, reservationId(status, body), loadAndLimit);
 	}
 
-	private static Optional<String> held(int status, byte[] body) {
+	private static Optional<String> reservationId(int status, byte[] body) {
 		try {
-			String h = (status == OK) ? EntryDecoder.JSON.readTree(body).path("hold").asText() : "";
+			String h = (status == OK) ? StoreEntryCodec.JSON.readTree(body).path("hold").asText() : "";
 			return h.isEmpty() ? Optional.empty() : Optional.of(h);
 		}
 		catch (IOException ex) {
-			Logger.info("[platform] reservation answer left aside status={} seen=\"{}\"", status, ex.toString());
+			Logger.info("[platform] invalid reservation response ignored status={} seen=\"{}\"", status, ex.toString());
 			return Optional.empty();
 		}
 	}
 
-	private static void tell(HoldAnswer a, HoldListener listener) {
-		listener.onNews(a.news());
-		if (a.hold().isPresent()) {
-			listener.onHeld(a.hold().get());
+	private static void notifyListener(ReservationResponse a, HoldListener listener) {
+		listener.onNews(a.loadAndLimit());
+		if (a.reservation().isPresent()) {
+			listener.onHeld(a.reservation().get());
 		}
-		else if (a.status() == AnswerDecoder.MISDIRECTED) {
+		else if (a.status() == ResponseHeadDecoder.MISDIRECTED) {
 			listener.onReplaced();
 		}
 		else {
@@ -241,11 +246,11 @@
 		}
 	}
 
-	private HttpClient.ResponseReceiver<?> send(WorkerCall call, String stage, Sent sent) {
+	private HttpClient.ResponseReceiver<?> send(WorkerCall call, String stage, SendState state) {
 		RelayRequest q = call.request();
 		ByteBuf body = Unpooled.wrappedBuffer(q.body());
 		return this.client.headers((h) -> headers(h, call, stage))
-			.doOnRequest((r, c) -> sent.yes = true)
+			.doOnRequest((r, c) -> state.sent = true)
 			.request(HttpMethod.valueOf(q.method()))
 			.uri("http://" + call.worker().address() + q.target())
 			.send((r, out) -> out.send(Flux.just(body)));
@@ -254,55 +259,55 @@
 	private static void headers(HttpHeaders h, WorkerCall call, String stage) {
 		RelayRequest q = call.request();
 		q.headers().forEach((f) -> h.add(f.name(), f.value()));
-		h.set(Names.REQUEST_ID, q.id());
-		h.set(Names.TIME_LEFT, call.timeLeftMs());
-		h.set(Names.EXPECTED_WORKER, call.worker().id());
+		h.set(PlatformNames.REQUEST_ID, q.id());
+		h.set(PlatformNames.REMAINING_MS, call.timeLeftMs());
+		h.set(PlatformNames.EXPECTED_INSTANCE, call.worker().id());
 		if (q.body().length > 0 || !q.method().equals("GET")) {
 			h.set(HttpHeaderNames.CONTENT_LENGTH, q.body().length);
 		}
-		if (q.body().length > SHARED_BODY_BYTES) {
+		if (q.body().length > MAX_POOLED_BODY_BYTES) {
 			h.set(HttpHeaderNames.CONNECTION, "close");
 		}
 		if (call.customer() != null) {
-			h.set(Names.CUSTOMER, call.customer());
+			h.set(PlatformNames.CUSTOMER, call.customer());
 		}
 		if (q.prompt() != null) {
-			h.set(Names.PRIORITY, call.priority());
+			h.set(PlatformNames.PRIORITY, call.priority());
 		}
 		if (call.lastEventId() != null) {
-			h.set(Names.LAST_EVENT, call.lastEventId());
+			h.set(PlatformNames.LAST_EVENT_ID, call.lastEventId());
 		}
 		if (!stage.isEmpty()) {
-			h.set(Names.STAGE, stage);
+			h.set(PlatformNames.STAGE, stage);
 		}
 		if (call.hold() != null) {
-			h.set(Names.HOLD, call.hold());
+			h.set(PlatformNames.RESERVATION, call.hold());
 		}
 		if (call.kvSource() != null) {
-			h.set(Names.KV_SOURCE, call.kvSource().worker().address() + "/" + call.kvSource().handle());
+			h.set(PlatformNames.KV_SOURCE, call.kvSource().worker().address() + "/" + call.kvSource().handle());
 		}
 	}
 
 	/**
-	 * Whether a request was handed to a connection; set on the event loop.
+	 * Whether a request was passed to a connection. Confined to the event loop.
 	 */
-	private static final class Sent {
+	private static final class SendState {
 
-		private boolean yes;
+		private boolean sent;
 
 	}
 
 	/**
-	 * A worker's answer to a call for a reservation.
+	 * A worker's response to a reservation call.
 	 */
-	private record HoldAnswer(int status, Optional<String> hold, WorkerNews news) {
+	private record ReservationResponse(int status, Optional<String> reservation, WorkerNews loadAndLimit) {
 
 	}
 
 	/**
-	 * A worker's answer to a prefill.
+	 * A worker's response to a prefill request.
 	 */
-	private record Prefilled(AnswerHead head, String handle, WorkerNews news) {
+	private record PrefillResponse(AnswerHead head, String handle, WorkerNews loadAndLimit) {
 
 	}
 
--- a/src/main/java/io/shallotspur/platform/KeepAlive.java
+++ b/src/main/java/io/shallotspur/platform/KeepAliveHeader.java
@@ -5,18 +5,18 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * Reads the idle timeout that a server announces. Stateless.
+ * Parses the idle timeout of a {@code Keep-Alive} header. Stateless.
  */
-final class KeepAlive {
+final class KeepAliveHeader {
 
 	private static final String TIMEOUT = "timeout=";
 
 	private static final long MS_PER_S = 1_000;
 
-	private KeepAlive() {
+	private KeepAliveHeader() {
 	}
 
-	static OptionalLong idleMs(HttpHeaders h) {
+	static OptionalLong idleTimeoutMs(HttpHeaders h) {
 		String v = h.get("Keep-Alive");
 		if (v == null) {
 			return OptionalLong.empty();
--- a/src/main/java/io/shallotspur/platform/PlatformCommand.java
+++ b/src/main/java/io/shallotspur/platform/PlatformCommand.java
@@ -14,35 +14,35 @@
 import io.shallotspur.util.log.LogSetup;
 
 /**
- * Runs an entry VM on the users' platform until it is told to leave. SIGTERM and SIGINT
- * drain it; SIGHUP is noted, as the settings that can change there are read at a start.
+ * Runs an entry VM on the users' platform until it is terminated. SIGTERM and SIGINT
+ * drain it. SIGHUP is only logged, because settings are read at startup.
  */
 public final class PlatformCommand implements Command {
 
 	private static final String SETTINGS_VARIABLE = "SHALLOTSPUR_BOOT";
 
 	@Option(name = "--settings", metaVar = "FILE",
-			usage = "the settings, TOML; by default the file that the platform names")
+			usage = "settings file (TOML); by default the file named by SHALLOTSPUR_BOOT")
 	private Path settings = Path.of(System.getenv().getOrDefault(SETTINGS_VARIABLE, "settings.toml"));
 
-	@Option(name = "--rehearse", usage = "go through a start on loopback and end, to make a class data archive")
+	@Option(name = "--rehearse", usage = "run a training start on loopback and exit, to create a class data archive")
 	private boolean rehearse;
 
 	@Override
 	public int run(PrintStream out, PrintStream err) throws ShallotspurException {
 		if (this.rehearse) {
-			Rehearsal.run();
+			TrainingRun.run();
 			return ExitCode.OK.code();
 		}
 		PlatformSettings s = PlatformSettings.read(this.settings);
 		LogSetup.toOutput(s.log().level());
-		CountDownLatch leave = new CountDownLatch(1);
-		Signals.onTerminate(leave::countDown);
-		Signals.on("HUP", () -> Logger.info("[run] settings changed; they hold from the next start on"));
+		CountDownLatch terminate = new CountDownLatch(1);
+		Signals.onTerminate(terminate::countDown);
+		Signals.on("HUP", () -> Logger.info("[run] settings changed; they take effect at the next start"));
 		PlatformVm vm = new PlatformVm(s);
 		vm.start();
 		try {
-			leave.await();
+			terminate.await();
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
--- a/src/main/java/io/shallotspur/platform/PlatformSettings.java
+++ b/src/main/java/io/shallotspur/platform/PlatformSettings.java
@@ -14,32 +14,33 @@
 /**
  * Settings of an entry VM on the platform. Immutable.
  *
- * @param gateway the settings of the relaying
+ * @param gateway settings of the gateway
  * @param region the region of the VM's hall
- * @param cores processor cores that the VM may use; a part of one is a fraction
- * @param callers where callers connect
- * @param ready where the platform asks whether the VM is ready
- * @param locate where callers ask for addresses
- * @param metrics where metrics are served
- * @param store the platform's store
- * @param locateTtlMs how long callers may keep addresses, in milliseconds
- * @param graceMs how long the process may go on after SIGTERM, in milliseconds
- * @param changes how soon changes in the registry have to be acted on
- * @param orders how workers are given orders
- * @param log level and volume of the log
+ * @param cores processor cores that the VM may use; can be fractional
+ * @param callers listen address for requests of callers
+ * @param readiness listen address of the readiness check
+ * @param locate listen address for lookups of entry VM addresses
+ * @param metrics listen address of the metrics
+ * @param store address of the platform's store
+ * @param locateTtlMs how long callers may cache addresses, in milliseconds
+ * @param graceMs how long the process may run after SIGTERM, in milliseconds
+ * @param changeBounds how soon registry changes must take effect
+ * @param orders settings of stage orders to workers
+ * @param log log level and rate limit
  */
-record PlatformSettings(GatewaySettings gateway, String region, double cores, Endpoint callers, Endpoint ready,
-		Endpoint locate, Endpoint metrics, Endpoint store, long locateTtlMs, long graceMs, ChangeBounds changes,
-		OrderSettings orders, LogVolume log) {
+record PlatformSettings(GatewaySettings gateway, String region, double cores, Endpoint callers, Endpoint readiness,
+		Endpoint locate, Endpoint metrics, Endpoint store, long locateTtlMs, long graceMs, ChangeBounds changeBounds,
+		OrderSettings orders, LogSettings log) {
 
 	private static final long HOUR_MS = 3_600_000;
 
 	private static final int MS_PER_S = 1_000;
 
-	// Callers ask again this often at least; the shorter, the sooner they leave a VM that
-	// has gone, and the more they ask. An answer costs below a millisecond, and some
-	// callers keep it three times as long.
-	private static final double MOST_TTL_S = 1;
+	// In seconds. The longest that callers are told to cache addresses. A shorter TTL
+	// makes callers leave a stopped VM sooner, but look up addresses more often. A lookup
+	// costs less than a millisecond, and some callers cache the addresses three times as
+	// long as told.
+	private static final double MAX_TTL_S = 1;
 
 	static PlatformSettings read(Path file) throws InputException, SettingsException {
 		Problems p = new Problems(file.toString());
@@ -67,7 +68,7 @@
 		String region = vm.text("region", "default");
 		double cores = vm.number("cpu_share", 1, 0.01, 10_000) * vm.number("cpu_speed", 1, 0.01, 10_000);
 		vm.finish();
-		double ttl = Math.min(MOST_TTL_S, bounds.number("locate_ttl_max_s", MOST_TTL_S, 0.1, 3_600));
+		double ttl = Math.min(MAX_TTL_S, bounds.number("locate_ttl_max_s", MAX_TTL_S, 0.1, 3_600));
 		long grace = (long) (bounds.number("grace_s", 8, 0, 3_600) * MS_PER_S);
 		ChangeBounds changes = new ChangeBounds(bounds.whole("worker_drain_ms", 2_000, 0, HOUR_MS),
 				bounds.whole("config_apply_ms", 2_000, 0, HOUR_MS));
@@ -75,11 +76,12 @@
 				bounds.whole("order_turn_ms", 3_000, 0, HOUR_MS));
 		bounds.finish();
 		TomlTable log = root.table("log");
-		LogVolume volume = new LogVolume(log.text("level", "info"), (int) log.whole("lines_per_s", 100, 0, 1_000_000));
+		LogSettings logSettings = new LogSettings(log.text("level", "info"),
+				(int) log.whole("lines_per_s", 100, 0, 1_000_000));
 		log.finish();
 		root.finish();
 		return new PlatformSettings(g, region, cores, callers, ready, locate, metrics, address, (long) (ttl * MS_PER_S),
-				grace, changes, orders, volume);
+				grace, changes, orders, logSettings);
 	}
 
 	private static GatewaySettings gateway(TomlTable vm, TomlTable bounds) {
@@ -93,31 +95,33 @@
 	}
 
 	private static QuotaBounds quotas(TomlTable bounds) {
-		QuotaBounds d = QuotaBounds.EXACT;
-		double window = bounds.number("quota_window_s", (double) d.windowMs() / MS_PER_S, 0.1, 3_600);
-		return new QuotaBounds((long) (window * MS_PER_S), bounds.number("quota_overshoot", d.overshoot(), 0, 10),
-				bounds.number("quota_slack", d.slack(), 0, 1e12));
+		QuotaBounds defaults = QuotaBounds.EXACT;
+		double window = bounds.number("quota_window_s", (double) defaults.windowMs() / MS_PER_S, 0.1, 3_600);
+		return new QuotaBounds((long) (window * MS_PER_S),
+				bounds.number("quota_overshoot", defaults.overshoot(), 0, 10),
+				bounds.number("quota_slack", defaults.slack(), 0, 1e12));
 	}
 
 	/**
-	 * How workers are given orders. Immutable.
+	 * Settings of stage orders to workers. Immutable.
 	 *
-	 * @param fenced whether workers refuse orders with a lower fencing number than one
-	 * they have seen; without that no orders are given, since a VM that was paused could
-	 * undo what its successor had ordered
-	 * @param turnMs how long a VM waits after it has got the duty, in milliseconds
+	 * @param fenced whether workers reject orders with a lower fencing token than one
+	 * they have seen; if not, no orders are sent, because a VM that was paused could
+	 * revert the orders of its successor
+	 * @param takeoverDelayMs how long a VM waits before it sends orders after taking over
+	 * that role, in milliseconds
 	 */
-	record OrderSettings(boolean fenced, long turnMs) {
+	record OrderSettings(boolean fenced, long takeoverDelayMs) {
 
 	}
 
 	/**
-	 * How much is logged. Immutable.
+	 * Log level and rate limit. Immutable.
 	 *
-	 * @param level the least severe level that is written
-	 * @param linesPerSecond the most lines about requests in a second
+	 * @param level the minimum level that is logged
+	 * @param linesPerSecond the maximum number of log lines about requests per second
 	 */
-	record LogVolume(String level, int linesPerSecond) {
+	record LogSettings(String level, int linesPerSecond) {
 
 	}
 
--- a/src/main/java/io/shallotspur/platform/PlatformVm.java
+++ b/src/main/java/io/shallotspur/platform/PlatformVm.java
@@ -28,20 +28,21 @@
 import io.shallotspur.stage.StageKeeper;
 
 /**
- * One entry VM on the platform: wires the gateway to its adapters, starts and drains
- * them. {@link #start} and {@link #drain} are called by one thread.
+ * One entry VM on the platform: connects the gateway to its adapters, starts and drains
+ * them. {@link #start} and {@link #drain} must be called from the same thread.
  */
 final class PlatformVm {
 
-	// Callers keep an address for a few seconds after this VM has left the answers; those
-	// who come meanwhile are served, ms.
-	private static final long LATE_CALLERS_MS = 3_000;
+	// In ms. Callers cache this VM's address for a few seconds after lookups stop
+	// returning it; requests that arrive in that time are still served.
+	private static final long LATE_REQUEST_WINDOW_MS = 3_000;
 
-	// The process is gone this long before it would be killed, ms.
-	private static final long GRACE_MARGIN_MS = 400;
+	// In ms. The process exits this long before it would be killed.
+	private static final long EXIT_MARGIN_MS = 400;
 
-	// Nobody is let in any more this long before the end, ms: a refusal takes a few ms.
-	private static final long LAST_REFUSAL_MS = 300;
+	// In ms. New connections are no longer accepted this long before the exit; refusing a
+	// request takes a few ms.
+	private static final long ACCEPT_STOP_MARGIN_MS = 300;
 
 	private static final long DRAIN_POLL_MS = 50;
 
@@ -49,9 +50,10 @@
 
 	private final LongSupplier clock = () -> TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
 
-	private final Loop loop = new Loop();
+	private final VmEventLoop loop = new VmEventLoop();
 
-	// Routes stand where the metrics know customers; none has series of its own.
+	// The platform's metrics have routes in place of customers, and no route gets a time
+	// series of its own.
 	private final NodeMetrics metrics = new NodeMetrics(0);
 
 	private final Gateway gateway;
@@ -64,13 +66,13 @@
 
 	private final SharedFigures figures;
 
-	private final VmLoadSampler load;
+	private final VmLoadSampler loadSampler;
 
 	private final CallerIngress ingress;
 
 	private final List<DisposableServer> servers = new ArrayList<>();
 
-	private volatile boolean leaving;
+	private volatile boolean draining;
 
 	private final AtomicBoolean closed = new AtomicBoolean();
 
@@ -85,18 +87,19 @@
 		ConfigReader reader = new ConfigReader(registry, this.gateway);
 		this.gateway.configSource(reader);
 		String incarnation = Long.toHexString(ThreadLocalRandom.current().nextLong());
-		EntryVm self = new EntryVm(Names.VM_PREFIX + s.callers() + "/" + incarnation, s.callers().toString(),
+		EntryVm self = new EntryVm(PlatformNames.VM_PREFIX + s.callers() + "/" + incarnation, s.callers().toString(),
 				s.region(), s.gateway().hall(), s.cores(), false);
 		this.registration = new VmRegistration(registry, self, this.loop);
 		this.follower = new RegistryFollower(registry, this.gateway, this.loop, this.clock,
-				() -> ThreadLocalRandom.current().nextDouble(), s.changes());
+				() -> ThreadLocalRandom.current().nextDouble(), s.changeBounds());
 		this.follower.own(self.key(), this.registration::start);
 		this.registration.whenNotAnswered(this.follower::doubt);
-		Duty duty = new Duty(registry, this.registration, this.gateway.vms(), self.key(), s.orders().turnMs(),
+		Duty duty = new Duty(registry, this.registration, this.gateway.vms(), self.key(), s.orders().takeoverDelayMs(),
 				this.clock);
 		this.follower.duty(duty);
 		this.stages = new StageKeeper(s.gateway().vm(), this.gateway, duty,
-				new HttpStagePort(workers.side(), this.loop), this.loop, this.clock, s.changes().heardByAllMs());
+				new HttpStagePort(workers.controlClient(), this.loop), this.loop, this.clock,
+				s.changeBounds().heardByAllMs());
 		this.figures = new SharedFigures(registry, this.gateway, this.loop,
 				() -> ThreadLocalRandom.current().nextDouble());
 		this.follower.figures(this.figures);
@@ -104,38 +107,40 @@
 		this.follower.whenRestored(this.registration::restored);
 		this.follower.whenRestored((ms) -> this.metrics.registry().counter("store.restored").inc());
 		this.metrics.registry().gauge("store.era", () -> registry::era);
-		this.load = new VmLoadSampler(this.loop, this.clock, this.gateway::inProgress, this.registration::crowded);
+		this.loadSampler = new VmLoadSampler(this.loop, this.clock, this.gateway::inProgress,
+				this.registration::crowded);
 		this.gateway.vms().own(self);
 		this.ingress = new CallerIngress(s.callers(), this.loop, this.gateway);
 	}
 
 	/**
-	 * Opens all sockets and begins to follow the store.
+	 * Binds all sockets and starts to watch the store.
 	 */
 	void start() {
-		// All of a start runs on the loop's thread. Two threads that load classes and
-		// read sockets at once only take turns on a part of a core.
-		Flux.defer(this::sockets)
+		// The whole startup runs on the event loop. With a fraction of a core, a second
+		// thread that loads classes while the loop reads sockets would only compete with
+		// it.
+		Flux.defer(this::bindSockets)
 			.subscribeOn(this.loop.scheduler())
 			.doOnNext(this.servers::add)
-			.then(Mono.fromRunnable(this::started))
+			.then(Mono.fromRunnable(this::onBound))
 			.block();
 	}
 
-	private Flux<DisposableServer> sockets() {
+	private Flux<DisposableServer> bindSockets() {
 		ControlServers c = new ControlServers(this.loop, this.gateway.vms(), this.clock, this.settings.locateTtlMs());
 		return Flux
-			.just(this.ingress.bind(), c.ready(this.settings.ready(), this::ready),
-					c.locate(this.settings.locate(), () -> this.follower.listed() && !this.leaving),
+			.just(this.ingress.bind(), c.readiness(this.settings.readiness(), this::ready),
+					c.locate(this.settings.locate(), () -> this.follower.listed() && !this.draining),
 					c.metrics(this.settings.metrics(), this.metrics::scrape))
-			.concatMap((bind) -> PatientBind.of(bind, this.loop.scheduler()));
+			.concatMap((bind) -> BindRetry.withRetry(bind, this.loop.scheduler()));
 	}
 
-	private void started() {
+	private void onBound() {
 		this.follower.start();
 		this.registration.start();
 		this.figures.start();
-		this.load.start();
+		this.loadSampler.start();
 		this.gateway.watchClocks();
 		if (this.settings.orders().fenced()) {
 			this.stages.start();
@@ -146,39 +151,42 @@
 	}
 
 	private boolean ready() {
-		return !this.leaving && this.follower.listed() && this.gateway.table().isPresent();
+		return !this.draining && this.follower.listed() && this.gateway.table().isPresent();
 	}
 
 	/**
-	 * Leaves: is no longer ready nor in answers to callers, serves those who still come,
-	 * finishes what is in progress and returns.
+	 * Drains this VM: stops reporting ready and being returned by lookups, serves late
+	 * arrivals, waits for requests in progress until the end of the grace period and closes
+	 * all sockets.
 	 */
 	void drain() {
-		long begin = this.clock.getAsLong();
-		long end = begin + this.settings.graceMs() - GRACE_MARGIN_MS;
-		long late = begin + Math.min(LATE_CALLERS_MS, this.settings.graceMs() / 2);
+		long start = this.clock.getAsLong();
+		long drainDeadline = start + this.settings.graceMs() - EXIT_MARGIN_MS;
+		long lateDeadline = start + Math.min(LATE_REQUEST_WINDOW_MS, this.settings.graceMs() / 2);
 		Logger.info("[run] stopping in-progress={}", this.gateway.inProgress());
-		this.loop.execute(() -> leave(late, end));
-		pause(late - begin);
-		// Callers who still have this address would find nobody while the last streams go
-		// on here. Without the store they keep it, as no VM hears that this one leaves;
-		// and a VM that starts then knows no configuration. So it stays to the end.
-		while (this.clock.getAsLong() < end - LAST_REFUSAL_MS
+		this.loop.execute(() -> beginDrain(lateDeadline, drainDeadline));
+		sleep(lateDeadline - start);
+		// The listening socket stays open until just before the end. Callers with a
+		// cached address would otherwise be refused while the last streams still run
+		// here. While the store is unavailable they keep the address, because other VMs
+		// do not learn that this one is leaving, and a newly started VM has no
+		// configuration.
+		while (this.clock.getAsLong() < drainDeadline - ACCEPT_STOP_MARGIN_MS
 				&& (this.gateway.inProgress() > 0 || this.follower.away())) {
-			pause(DRAIN_POLL_MS);
+			sleep(DRAIN_POLL_MS);
 		}
 		this.servers.get(0).dispose();
 		this.loop.execute(this.ingress::closeIdle);
-		while (this.gateway.inProgress() > 0 && this.clock.getAsLong() < end) {
-			pause(DRAIN_POLL_MS);
+		while (this.gateway.inProgress() > 0 && this.clock.getAsLong() < drainDeadline) {
+			sleep(DRAIN_POLL_MS);
 		}
 		Logger.info("[run] stopped left-in-progress={}", this.gateway.inProgress());
 		close();
 	}
 
 	/**
-	 * Closes all sockets at once. A second call does nothing: a VM that has left has
-	 * closed by itself, and its event loop would reject what is handed to it.
+	 * Closes all sockets immediately. Further calls have no effect: a drained VM has
+	 * already closed itself, and its event loop would reject new tasks.
 	 */
 	void close() {
 		if (!this.closed.compareAndSet(false, true)) {
@@ -186,7 +194,7 @@
 		}
 		this.loop.execute(this.stages::stop);
 		this.loop.execute(this.figures::stop);
-		this.loop.execute(this.load::stop);
+		this.loop.execute(this.loadSampler::stop);
 		this.loop.execute(this.gateway::unwatchClocks);
 		this.loop.execute(this.follower::stop);
 		this.servers.forEach((s) -> s.dispose());
@@ -209,15 +217,15 @@
 		return this.servers.get(2).port();
 	}
 
-	private void leave(long late, long end) {
-		this.leaving = true;
-		this.gateway.leave(late, end);
+	private void beginDrain(long lateDeadline, long drainDeadline) {
+		this.draining = true;
+		this.gateway.leave(lateDeadline, drainDeadline);
 		this.stages.stop();
-		this.ingress.closeAfterAnswers();
-		this.registration.end().timeout(Duration.ofMillis(GRACE_MARGIN_MS)).onErrorComplete().subscribe();
+		this.ingress.closeAfterResponses();
+		this.registration.end().timeout(Duration.ofMillis(EXIT_MARGIN_MS)).onErrorComplete().subscribe();
 	}
 
-	private static void pause(long ms) {
+	private static void sleep(long ms) {
 		try {
 			TimeUnit.MILLISECONDS.sleep(ms);
 		}
--- a/src/main/java/io/shallotspur/platform/RequestDecoder.java
+++ b/src/main/java/io/shallotspur/platform/RequestDecoder.java
@@ -12,7 +12,7 @@
 import io.shallotspur.gateway.RelayRequest;
 
 /**
- * Decodes callers' requests. Stateless.
+ * Decodes requests of callers. Stateless.
  */
 final class RequestDecoder {
 
@@ -30,41 +30,42 @@
 	 * malformed
 	 */
 	static RelayRequest decode(String method, String target, HttpHeaders h, byte[] body) throws InputException {
-		String id = h.get(Names.REQUEST_ID);
+		String id = h.get(PlatformNames.REQUEST_ID);
 		String host = h.get(HttpHeaderNames.HOST);
 		if (id == null || id.isEmpty() || host == null || !target.startsWith("/")) {
-			throw new InputException("The request names no id, host or path.", target);
+			throw new InputException("The request has no id or host, or its path does not start with a slash.", target);
 		}
-		return new RelayRequest(id, method, target, host, Names.relayed(h), body, waitMs(h), prompt(h),
-				h.get(Names.LAST_EVENT), keyHash(h));
+		return new RelayRequest(id, method, target, host, PlatformNames.forwardedHeaders(h), body, remainingMs(h),
+				prompt(h), h.get(PlatformNames.LAST_EVENT_ID), keyHash(h));
 	}
 
-	// Two keys name no customer: which of them counts, another reader of the request
-	// could see otherwise.
+	// A request with two Authorization headers has no customer, because another component
+	// that reads it could pick the other key.
 	private static @Nullable String keyHash(HttpHeaders h) {
-		List<String> l = h.getAll(Names.CREDENTIALS);
-		return (l.size() == 1) ? BearerKey.hashOf(l.get(0)).orElse(null) : null;
+		List<String> credentials = h.getAll(PlatformNames.AUTHORIZATION);
+		return (credentials.size() == 1) ? BearerKey.hashOf(credentials.get(0)).orElse(null) : null;
 	}
 
-	private static long waitMs(HttpHeaders h) throws InputException {
-		String v = h.get(Names.TIME_LEFT);
-		return (v != null) ? Math.max(0, (long) number(v, Names.TIME_LEFT)) : Long.MAX_VALUE;
+	private static long remainingMs(HttpHeaders h) throws InputException {
+		String v = h.get(PlatformNames.REMAINING_MS);
+		return (v != null) ? Math.max(0, (long) parseNumber(v, PlatformNames.REMAINING_MS)) : Long.MAX_VALUE;
 	}
 
 	private static @Nullable PromptShape prompt(HttpHeaders h) throws InputException {
-		String counts = h.get(Names.TOKEN_COUNTS);
+		String counts = h.get(PlatformNames.TOKEN_COUNTS);
 		if (counts == null) {
 			return null;
 		}
 		String[] c = counts.split(",");
-		int in = (int) number(c[0], Names.TOKEN_COUNTS);
-		int out = (c.length > 1) ? (int) number(c[1], Names.TOKEN_COUNTS) : 0;
-		String hint = h.get(Names.LENGTH_HINT);
-		int likely = (hint != null) ? Math.min(out, (int) number(hint, Names.LENGTH_HINT)) : out;
-		return new PromptShape(in, out, likely);
+		int promptTokens = (int) parseNumber(c[0], PlatformNames.TOKEN_COUNTS);
+		int maxOutputTokens = (c.length > 1) ? (int) parseNumber(c[1], PlatformNames.TOKEN_COUNTS) : 0;
+		String hint = h.get(PlatformNames.LENGTH_HINT);
+		int expectedOutputTokens = (hint != null)
+				? Math.min(maxOutputTokens, (int) parseNumber(hint, PlatformNames.LENGTH_HINT)) : maxOutputTokens;
+		return new PromptShape(promptTokens, maxOutputTokens, expectedOutputTokens);
 	}
 
-	private static double number(String v, String field) throws InputException {
+	private static double parseNumber(String v, String field) throws InputException {
 		try {
 			return Double.parseDouble(v.strip());
 		}
--- /dev/null
+++ b/src/main/java/io/shallotspur/platform/ResponseHeadDecoder.java
@@ -0,0 +1,98 @@
+package io.shallotspur.platform;
+
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpHeaders;
+import io.netty.handler.codec.http.HttpStatusClass;
+import org.jspecify.annotations.Nullable;
+import org.tinylog.Logger;
+
+import io.shallotspur.gateway.AnswerHead;
+import io.shallotspur.gateway.AnswerOrigin;
+import io.shallotspur.gateway.LoadReport;
+import io.shallotspur.gateway.WorkerLimit;
+import io.shallotspur.gateway.WorkerNews;
+
+/**
+ * Decodes the status and headers of a worker's response. Stateless.
+ */
+final class ResponseHeadDecoder {
+
+	/** HTTP 421: the address now belongs to another incarnation of the worker. */
+	static final int MISDIRECTED = 421;
+
+	private static final int MIN_LOAD_FIELDS = 3;
+
+	private ResponseHeadDecoder() {
+	}
+
+	static AnswerHead head(String requestId, int status, HttpHeaders h) {
+		boolean otherIncarnation = status == MISDIRECTED;
+		boolean notExecuted = h.contains(PlatformNames.NOT_EXECUTED) || otherIncarnation;
+		AnswerOrigin origin = origin(requestId, h);
+		// The load and limit headers describe this worker only if the response comes from
+		// the expected incarnation and answers this request.
+		boolean complete = origin == AnswerOrigin.SIGNED && HttpStatusClass.SUCCESS.contains(status);
+		WorkerNews news = (otherIncarnation || origin == AnswerOrigin.FOREIGN) ? WorkerNews.NONE
+				: loadAndLimit(h, complete);
+		return new AnswerHead(status, PlatformNames.forwardedHeaders(h), origin, notExecuted, otherIncarnation, news);
+	}
+
+	/**
+	 * Decodes the load and the rate limit that a worker reports in its headers.
+	 * @param h the response headers
+	 * @param complete whether this kind of response has all of the worker's headers, so
+	 * that a missing limit means that the worker has none
+	 * @return the load and limit; {@code null} for each that is not reported
+	 */
+	static WorkerNews loadAndLimit(HttpHeaders h, boolean complete) {
+		return new WorkerNews(load(h.get(PlatformNames.LOAD)), limit(h.get(PlatformNames.RATE_LIMIT), complete));
+	}
+
+	private static @Nullable WorkerLimit limit(@Nullable String v, boolean complete) {
+		if (v == null) {
+			return complete ? WorkerLimit.NONE : null;
+		}
+		try {
+			double perSecond = Double.parseDouble(v.strip());
+			if (perSecond >= 0 && perSecond < Double.POSITIVE_INFINITY) {
+				return new WorkerLimit(perSecond);
+			}
+		}
+		catch (NumberFormatException ex) {
+			// Logged and ignored below, like a number that is not a valid rate.
+		}
+		Logger.info("[platform] invalid limit ignored seen=\"{}\"", v);
+		return null;
+	}
+
+	private static AnswerOrigin origin(String requestId, HttpHeaders h) {
+		String echoed = h.get(PlatformNames.REQUEST_ID);
+		// A late response to an earlier request on the same connection can only be
+		// detected by its id. Requests never ask for a content encoding, so an encoded
+		// body is not the worker's own response.
+		boolean otherRequest = echoed != null && !echoed.equals(requestId);
+		if (otherRequest || h.contains(HttpHeaderNames.CONTENT_ENCODING)) {
+			return AnswerOrigin.FOREIGN;
+		}
+		return (echoed != null && h.contains(PlatformNames.SIGNATURE)) ? AnswerOrigin.SIGNED : AnswerOrigin.UNSIGNED;
+	}
+
+	private static @Nullable LoadReport load(@Nullable String v) {
+		if (v == null) {
+			return null;
+		}
+		String[] p = v.split(",");
+		if (p.length < MIN_LOAD_FIELDS) {
+			return null;
+		}
+		try {
+			return new LoadReport(Integer.parseInt(p[0].strip()), Integer.parseInt(p[1].strip()),
+					Integer.parseInt(p[2].strip()));
+		}
+		catch (NumberFormatException ex) {
+			// A malformed report is ignored; the load is then estimated without it.
+			return null;
+		}
+	}
+
+}
--- a/src/main/java/io/shallotspur/platform/StoreClient.java
+++ b/src/main/java/io/shallotspur/platform/StoreClient.java
@@ -26,46 +26,49 @@
 import io.shallotspur.registry.EraTracker;
 
 /**
- * Calls to the platform's store. Confined to the event loop, on which answers come.
+ * HTTP client of the platform's store. Confined to the event loop, on which responses are
+ * delivered.
  * <p>
- * Every call has a time limit of its own, and one that passes it closes its connection:
- * connections go silent without a reset, and one that has lost an answer brings no other.
+ * Every call has its own timeout, and a call that times out closes its connection:
+ * connections can fail silently without a reset, and one that has lost a response
+ * delivers no further ones.
  * <p>
- * An answer of an earlier era of the store is dropped, and one that is the first of a new
- * era is taken only after who is to hear of it has been told.
+ * Responses from an earlier era of the store are dropped. The first response of a new era
+ * is delivered only after the restore listener has been called.
  */
 final class StoreClient {
 
-	private static final int SERVER_FAILS = 500;
+	private static final int SERVER_ERROR = 500;
 
 	private static final long ACQUIRE_TIMEOUT_MS = 1_000;
 
 	private static final int CONNECT_TIMEOUT_MS = 500;
 
-	// One watch, one renewal, and one to spare when either has gone silent.
-	private static final int CONNECTIONS = 3;
+	// One for the watch, one for lease renewals, and a spare in case one of them has
+	// failed silently.
+	private static final int MAX_CONNECTIONS = 3;
 
-	// A watch waits for seconds without a byte. Probes of its connection, s and their
-	// number: a path that has gone silent is noticed after three seconds.
-	private static final int PROBE_AFTER_S = 1;
+	// TCP keepalive, times in seconds. A watch waits for seconds without traffic; with
+	// these probes a connection that has failed silently is detected after three seconds.
+	private static final int KEEPALIVE_IDLE_S = 1;
 
-	private static final int PROBE_EACH_S = 1;
+	private static final int KEEPALIVE_INTERVAL_S = 1;
 
-	private static final int MOST_PROBES = 2;
+	private static final int MAX_KEEPALIVE_PROBES = 2;
 
 	private final HttpClient client;
 
-	private final Loop loop;
+	private final VmEventLoop loop;
 
 	private final EraTracker eras = new EraTracker();
 
-	private LongConsumer onRestored = (era) -> {
+	private LongConsumer restoreListener = (era) -> {
 	};
 
-	StoreClient(Endpoint store, Loop loop) {
+	StoreClient(Endpoint store, VmEventLoop loop) {
 		this.loop = loop;
 		ConnectionProvider pool = ConnectionProvider.builder("store")
-			.maxConnections(CONNECTIONS)
+			.maxConnections(MAX_CONNECTIONS)
 			.pendingAcquireTimeout(Duration.ofMillis(ACQUIRE_TIMEOUT_MS))
 			.build();
 		this.client = HttpClient.create(pool)
@@ -75,32 +78,32 @@
 			.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
 			.option(ChannelOption.TCP_NODELAY, true)
 			.option(ChannelOption.SO_KEEPALIVE, true)
-			.option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), PROBE_AFTER_S)
-			.option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL), PROBE_EACH_S)
-			.option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), MOST_PROBES);
+			.option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), KEEPALIVE_IDLE_S)
+			.option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL), KEEPALIVE_INTERVAL_S)
+			.option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), MAX_KEEPALIVE_PROBES);
 	}
 
 	/**
-	 * Says who is to hear that the store has come back from an older copy.
-	 * @param then called with the new era
+	 * Sets the listener for restores of the store from an older snapshot.
+	 * @param listener called with the new era
 	 */
-	void whenRestored(LongConsumer then) {
-		this.onRestored = then;
+	void onRestored(LongConsumer listener) {
+		this.restoreListener = listener;
 	}
 
 	/**
 	 * Returns the store's era.
-	 * @return the era; 0 if the store tells none
+	 * @return the era; 0 if the store reports none
 	 */
 	long era() {
 		return this.eras.era();
 	}
 
 	/**
-	 * Tells whether the store has answered yet.
-	 * @return {@code false} if its era cannot be known
+	 * Returns whether the store has responded at least once.
+	 * @return {@code false} if its era cannot be known yet
 	 */
-	boolean begun() {
+	boolean hasAnswered() {
 		return this.eras.begun();
 	}
 
@@ -110,8 +113,8 @@
 	 * @param uri the path with its query
 	 * @param body the body, or {@code null} if there is none
 	 * @param timeoutMs how long to wait, in milliseconds
-	 * @return the answer, whatever its status; signals {@link StoreUnavailableException}
-	 * if there is none of the present era
+	 * @return the response, whatever its status; fails with
+	 * {@link StoreUnavailableException} if there is no response from the current era
 	 */
 	Mono<Reply> call(HttpMethod method, String uri, @Nullable JsonNode body, long timeoutMs) {
 		ByteBuf buf = (body != null) ? Unpooled.wrappedBuffer(bytes(body)) : Unpooled.EMPTY_BUFFER;
@@ -126,7 +129,7 @@
 					(r, content) -> content.asByteArray().defaultIfEmpty(new byte[0]).flatMap((b) -> reply(r, b, uri)))
 			.timeout(Duration.ofMillis(timeoutMs), this.loop.scheduler())
 			.onErrorMap((ex) -> !(ex instanceof StoreUnavailableException),
-					(ex) -> new StoreUnavailableException("The store did not answer: " + ex, uri, ex));
+					(ex) -> new StoreUnavailableException("The store did not respond: " + ex, uri, ex));
 	}
 
 	private static byte[] bytes(JsonNode n) {
@@ -135,56 +138,58 @@
 
 	private Mono<Reply> reply(HttpClientResponse r, byte[] body, String uri) {
 		int status = r.status().code();
-		if (!place(r.responseHeaders().get(Names.STORE_ERA), status)) {
-			return Mono.error(new StoreUnavailableException("The answer is not of the store's present era.", uri));
+		if (!acceptEra(r.responseHeaders().get(PlatformNames.STORE_ERA), status)) {
+			return Mono.error(new StoreUnavailableException("The response is from an outdated era of the store.", uri));
 		}
 		try {
-			JsonNode n = (body.length > 0) ? EntryDecoder.JSON.readTree(body) : EntryDecoder.JSON.createObjectNode();
+			JsonNode n = (body.length > 0) ? StoreEntryCodec.JSON.readTree(body)
+					: StoreEntryCodec.JSON.createObjectNode();
 			return Mono.just(new Reply(status, n, this.eras.era()));
 		}
 		catch (IOException ex) {
-			return Mono.error(new StoreUnavailableException("The store's answer is not JSON.", uri, ex));
+			return Mono.error(new StoreUnavailableException("The store's response is not JSON.", uri, ex));
 		}
 	}
 
-	// A refusal says nothing of what is in the store, and may come from before it.
-	private boolean place(@Nullable String told, int status) {
-		OptionalLong era = era(told);
-		if (era.isEmpty() && status >= SERVER_FAILS) {
+	// Server errors without an era are accepted: they carry no store data, and may come
+	// from a component in front of the store.
+	private boolean acceptEra(@Nullable String header, int status) {
+		OptionalLong era = parseEra(header);
+		if (era.isEmpty() && status >= SERVER_ERROR) {
 			return true;
 		}
 		return switch (this.eras.heard(era)) {
 			case CURRENT -> true;
 			case RESTORED -> {
-				this.onRestored.accept(this.eras.era());
+				this.restoreListener.accept(this.eras.era());
 				yield true;
 			}
 			case OUTDATED -> {
-				Logger.warn("[store] answer dropped era=\"{}\" known={}", told, this.eras.era());
+				Logger.warn("[store] outdated response dropped era=\"{}\" known={}", header, this.eras.era());
 				yield false;
 			}
 		};
 	}
 
-	private static OptionalLong era(@Nullable String told) {
-		if (told == null) {
+	private static OptionalLong parseEra(@Nullable String header) {
+		if (header == null) {
 			return OptionalLong.empty();
 		}
 		try {
-			return OptionalLong.of(Long.parseLong(told.strip()));
+			return OptionalLong.of(Long.parseLong(header.strip()));
 		}
 		catch (NumberFormatException ex) {
-			Logger.warn("[store] era not readable seen=\"{}\"", told);
+			Logger.warn("[store] invalid era header seen=\"{}\"", header);
 			return OptionalLong.empty();
 		}
 	}
 
 	/**
-	 * An answer. Immutable.
+	 * A response. Immutable.
 	 *
 	 * @param status the status
 	 * @param body the body; an empty object if there was none
-	 * @param era the era of the store that it shows
+	 * @param era the era of the store that sent it
 	 */
 	record Reply(int status, JsonNode body, long era) {
 
--- a/src/main/java/io/shallotspur/platform/EntryDecoder.java
+++ b/src/main/java/io/shallotspur/platform/StoreEntryCodec.java
@@ -23,23 +23,24 @@
 import io.shallotspur.route.RouteTable;
 
 /**
- * Decodes items and events of the platform's store. Stateless. Other writers may leave
- * entries there that cannot be read: a worker's names no worker to use, of any other what
- * was known before stays in force.
+ * Decodes items and watch events of the platform's store, and encodes the entries that
+ * this system writes. Stateless. Other writers may leave malformed entries there. A
+ * malformed worker entry registers no worker; a malformed entry of another kind leaves
+ * the last valid value in effect.
  */
-final class EntryDecoder {
+final class StoreEntryCodec {
 
 	static final ObjectMapper JSON = new ObjectMapper();
 
-	private EntryDecoder() {
+	private StoreEntryCodec() {
 	}
 
 	/**
 	 * Decodes an item or an event.
 	 * @param item the item or event
-	 * @param era the era of the store that it comes from
-	 * @return what it says, {@link RegistryChange.Unreadable} if it cannot be read, or
-	 * empty if it is of no concern here
+	 * @param era the era of the store that sent it
+	 * @return the change, {@link RegistryChange.Unreadable} if the entry is malformed, or
+	 * empty if the key is not used by entry VMs
 	 */
 	static Optional<RegistryChange> decode(JsonNode item, long era) {
 		String key = item.path("key").asText();
@@ -52,34 +53,35 @@
 	}
 
 	private static @Nullable String workerId(String key) {
-		return key.startsWith(Names.WORKER_PREFIX) ? key.substring(Names.WORKER_PREFIX.length()) : null;
+		return key.startsWith(PlatformNames.WORKER_PREFIX) ? key.substring(PlatformNames.WORKER_PREFIX.length()) : null;
 	}
 
 	private static Optional<RegistryChange> decode(String key, JsonNode item, long era) throws InputException {
-		boolean gone = item.path("tombstone").asBoolean(false);
-		if (key.startsWith(Names.WORKER_PREFIX)) {
-			String id = key.substring(Names.WORKER_PREFIX.length());
-			return Optional.of(gone ? new RegistryChange.WorkerGone(id) : worker(id, value(item)));
+		boolean deleted = item.path("tombstone").asBoolean(false);
+		if (key.startsWith(PlatformNames.WORKER_PREFIX)) {
+			String id = key.substring(PlatformNames.WORKER_PREFIX.length());
+			return Optional.of(deleted ? new RegistryChange.WorkerGone(id) : worker(id, value(item)));
 		}
-		if (key.startsWith(Names.VM_PREFIX)) {
-			return Optional.of(gone ? new RegistryChange.VmGone(key) : vm(key, value(item)));
+		if (key.startsWith(PlatformNames.VM_PREFIX)) {
+			return Optional.of(deleted ? new RegistryChange.VmGone(key) : vm(key, value(item)));
 		}
-		if (key.equals(Names.DUTY_KEY)) {
-			return Optional.of(gone ? new RegistryChange.DutyFree() : duty(item, era));
+		if (key.equals(PlatformNames.STAGE_LEADER_KEY)) {
+			return Optional.of(deleted ? new RegistryChange.DutyFree() : duty(item, era));
 		}
-		if (key.startsWith(Names.STAGE_PREFIX)) {
-			String id = key.substring(Names.STAGE_PREFIX.length());
-			return Optional.of(gone ? new RegistryChange.StageUnmarked(id)
-					: new RegistryChange.StageMarked(id, marked(key, value(item))));
+		if (key.startsWith(PlatformNames.STAGE_CHANGE_PREFIX)) {
+			String id = key.substring(PlatformNames.STAGE_CHANGE_PREFIX.length());
+			return Optional.of(deleted ? new RegistryChange.StageUnmarked(id)
+					: new RegistryChange.StageMarked(id, markedStage(key, value(item))));
 		}
-		if (key.startsWith(Names.FIGURES_PREFIX) && !gone) {
-			String upstream = key.substring(Names.FIGURES_PREFIX.length());
+		if (key.startsWith(PlatformNames.ENGINE_STATS_PREFIX) && !deleted) {
+			String upstream = key.substring(PlatformNames.ENGINE_STATS_PREFIX.length());
 			return Optional.of(new RegistryChange.FiguresSeen(upstream, figures(key, value(item)), point(item, era)));
 		}
-		if (key.equals(Names.SETTLED_KEY) && !gone) {
-			return Optional.of(new RegistryChange.Settled(new EntryFields(value(item), key).count("era")));
+		if (key.equals(PlatformNames.SETTLED_ERA_KEY) && !deleted) {
+			return Optional
+				.of(new RegistryChange.Settled(new StoreEntryFields(value(item), key).nonNegativeLong("era")));
 		}
-		if (key.equals(Names.CONFIG_KEY) && !gone) {
+		if (key.equals(PlatformNames.CONFIG_KEY) && !deleted) {
 			return Optional.of(new RegistryChange.Configured(configuration(item)));
 		}
 		return Optional.empty();
@@ -98,30 +100,30 @@
 		}
 	}
 
-	private static WorkerStage marked(String key, JsonNode v) throws InputException {
-		EntryFields f = new EntryFields(v, key);
-		return stage(f.text("stage")).orElseThrow(() -> f.unusable("stage"));
+	private static WorkerStage markedStage(String key, JsonNode v) throws InputException {
+		StoreEntryFields f = new StoreEntryFields(v, key);
+		return parseStage(f.text("stage")).orElseThrow(() -> f.invalidField("stage"));
 	}
 
 	private static RegistryChange worker(String id, JsonNode v) throws InputException {
-		EntryFields f = new EntryFields(v, Names.WORKER_PREFIX + id);
+		StoreEntryFields f = new StoreEntryFields(v, PlatformNames.WORKER_PREFIX + id);
 		Endpoint e = f.endpoint("address");
 		f.text("version");
-		f.count("sequence_number");
-		boolean leaving = switch (f.text("state")) {
+		f.nonNegativeLong("sequence_number");
+		boolean draining = switch (f.text("state")) {
 			case "ready" -> false;
 			case "draining" -> true;
-			default -> throw f.unusable("state");
+			default -> throw f.invalidField("state");
 		};
-		WorkerStage stage = f.has("stage") ? stage(f.text("stage")).orElseThrow(() -> f.unusable("stage"))
+		WorkerStage stage = f.has("stage") ? parseStage(f.text("stage")).orElseThrow(() -> f.invalidField("stage"))
 				: WorkerStage.PLAIN;
-		long startedAt = f.has(Names.STARTED_AT) ? f.count(Names.STARTED_AT) : 0;
+		long startedAt = f.has(PlatformNames.STARTED_AT) ? f.nonNegativeLong(PlatformNames.STARTED_AT) : 0;
 		return new RegistryChange.WorkerSeen(new WorkerInfo(id, f.text("service"), e.host(), e.port(), f.text("zone"),
-				f.positive("slots"), stage, leaving, f.count("cold_remaining_ms"), startedAt));
+				f.positiveInt("slots"), stage, draining, f.nonNegativeLong("cold_remaining_ms"), startedAt));
 	}
 
 	static RegistryChange.DutyHeld duty(JsonNode item, long era) throws InputException {
-		EntryFields f = new EntryFields(value(item), Names.DUTY_KEY);
+		StoreEntryFields f = new StoreEntryFields(value(item), PlatformNames.STAGE_LEADER_KEY);
 		return new RegistryChange.DutyHeld(f.text("vm"), point(item, era));
 	}
 
@@ -130,11 +132,12 @@
 	}
 
 	private static EngineFigures figures(String key, JsonNode v) throws InputException {
-		EntryFields f = new EntryFields(v, key);
-		return new EngineFigures(f.positive("samples"), f.amount("prompt_tokens"), f.amount("answer_tokens"),
-				f.amount("reserved_tokens"), f.amount("prefill_token_ms"), f.number("added_token_ms"),
-				f.amount("answer_token_ms"),
-				new LengthModel(f.number("length_intercept"), f.number("length_slope"), f.amount("length_deviation")));
+		StoreEntryFields f = new StoreEntryFields(v, key);
+		return new EngineFigures(f.positiveInt("samples"), f.positiveDouble("prompt_tokens"),
+				f.positiveDouble("answer_tokens"), f.positiveDouble("reserved_tokens"),
+				f.positiveDouble("prefill_token_ms"), f.finiteDouble("added_token_ms"),
+				f.positiveDouble("answer_token_ms"), new LengthModel(f.finiteDouble("length_intercept"),
+						f.finiteDouble("length_slope"), f.positiveDouble("length_deviation")));
 	}
 
 	static String encode(EngineFigures f) {
@@ -151,7 +154,7 @@
 			.put("length_deviation", f.lengths().deviation()));
 	}
 
-	static Optional<WorkerStage> stage(String s) {
+	static Optional<WorkerStage> parseStage(String s) {
 		return switch (s) {
 			case "prefill" -> Optional.of(WorkerStage.PREFILL);
 			case "decode" -> Optional.of(WorkerStage.DECODE);
@@ -160,9 +163,9 @@
 	}
 
 	private static RegistryChange vm(String key, JsonNode v) throws InputException {
-		EntryFields f = new EntryFields(v, key);
+		StoreEntryFields f = new StoreEntryFields(v, key);
 		return new RegistryChange.VmSeen(new EntryVm(key, f.endpoint("address").toString(), f.text("region"),
-				f.text("hall"), f.amount("cores"), f.count("crowded") > 0));
+				f.text("hall"), f.positiveDouble("cores"), f.nonNegativeLong("crowded") > 0));
 	}
 
 	static String encode(WorkerStage stage) {
--- a/src/main/java/io/shallotspur/platform/EntryFields.java
+++ b/src/main/java/io/shallotspur/platform/StoreEntryFields.java
@@ -6,12 +6,13 @@
 import io.shallotspur.exc.InputException;
 
 /**
- * The fields of one entry in the store, each read as what it has to be. Immutable.
+ * Reads and validates the fields of one store entry. Immutable.
  * <p>
- * Entries may come from other writers. One that is read with defaults for what is missing
- * becomes a worker that nobody runs, to which requests are then sent.
+ * Missing fields get no defaults, because entries may come from other writers: a
+ * defaulted worker entry would register a worker that does not exist, and requests would
+ * be sent to it.
  */
-final class EntryFields {
+final class StoreEntryFields {
 
 	private final JsonNode entry;
 
@@ -20,10 +21,10 @@
 	/**
 	 * Creates a reader.
 	 * @param entry the entry
-	 * @param key its key, for messages
-	 * @throws InputException if the entry has no fields
+	 * @param key its key, for error messages
+	 * @throws InputException if the entry is not a JSON object
 	 */
-	EntryFields(JsonNode entry, String key) throws InputException {
+	StoreEntryFields(JsonNode entry, String key) throws InputException {
 		if (!entry.isObject()) {
 			throw new InputException("The entry is not an object.", key);
 		}
@@ -38,68 +39,68 @@
 	String text(String field) throws InputException {
 		JsonNode n = this.entry.path(field);
 		if (!n.isTextual() || n.asText().isBlank()) {
-			throw unusable(field);
+			throw invalidField(field);
 		}
 		return n.asText();
 	}
 
 	Endpoint endpoint(String field) throws InputException {
-		return Endpoint.parse(text(field)).filter((e) -> e.port() > 0).orElseThrow(() -> unusable(field));
+		return Endpoint.parse(text(field)).filter((e) -> e.port() > 0).orElseThrow(() -> invalidField(field));
 	}
 
 	/**
-	 * Reads a whole number.
+	 * Reads a non-negative integer.
 	 * @param field the field
-	 * @return the number, not negative
+	 * @return the number, at least 0
 	 * @throws InputException if it is missing, of another type, negative or too large
 	 */
-	long count(String field) throws InputException {
+	long nonNegativeLong(String field) throws InputException {
 		JsonNode n = this.entry.path(field);
 		if (!n.isIntegralNumber() || !n.canConvertToLong() || n.asLong() < 0) {
-			throw unusable(field);
+			throw invalidField(field);
 		}
 		return n.asLong();
 	}
 
 	/**
-	 * Reads a whole number.
+	 * Reads a positive integer.
 	 * @param field the field
 	 * @return the number, at least 1
 	 * @throws InputException if it is missing, of another type, less than 1 or too large
 	 */
-	int positive(String field) throws InputException {
-		long n = count(field);
+	int positiveInt(String field) throws InputException {
+		long n = nonNegativeLong(field);
 		if (n < 1 || n > Integer.MAX_VALUE) {
-			throw unusable(field);
+			throw invalidField(field);
 		}
 		return (int) n;
 	}
 
 	/**
-	 * Reads a number.
+	 * Reads a positive number.
 	 * @param field the field
-	 * @return the number, more than 0
-	 * @throws InputException if it is missing, of another type, not finite or not more
+	 * @return the number, greater than 0
+	 * @throws InputException if it is missing, of another type, not finite or not greater
 	 * than 0
 	 */
-	double amount(String field) throws InputException {
-		double d = number(field);
+	double positiveDouble(String field) throws InputException {
+		double d = finiteDouble(field);
 		if (d <= 0) {
-			throw unusable(field);
+			throw invalidField(field);
 		}
 		return d;
 	}
 
-	double number(String field) throws InputException {
+	double finiteDouble(String field) throws InputException {
 		JsonNode n = this.entry.path(field);
 		if (!n.isNumber() || !Double.isFinite(n.asDouble())) {
-			throw unusable(field);
+			throw invalidField(field);
 		}
 		return n.asDouble();
 	}
 
-	InputException unusable(String field) {
-		return new InputException("The field " + field + " is missing or unusable.", this.key);
+	InputException invalidField(String field) {
+		return new InputException("The field " + field + " is missing or invalid.", this.key);
 	}
 
 }
--- a/src/main/java/io/shallotspur/platform/StoreRegistry.java
+++ b/src/main/java/io/shallotspur/platform/StoreRegistry.java
@@ -28,11 +28,11 @@
 import io.shallotspur.route.RouteTable;
 
 /**
- * The registry in the platform's store. Confined to the event loop, on which answers
- * come.
+ * Registry backed by the platform's store. Confined to the event loop, on which responses
+ * are delivered.
  * <p>
- * A write that was sent in one era of the store and answered in another counts as not
- * done: what it rested on, a lease or a revision, may be another one's there.
+ * A write that was sent in one era of the store and answered in another counts as failed:
+ * the lease or revision it relied on may belong to something else in the new era.
  */
 final class StoreRegistry implements Registry {
 
@@ -42,32 +42,34 @@
 
 	private static final int GONE = 410;
 
-	private static final int OTHER_REVISION = 412;
+	private static final int PRECONDITION_FAILED = 412;
 
-	// An answer takes 4 ms; a slow store takes tens of times as long, ms.
+	// In ms. A response normally takes 4 ms; a slow store takes tens of times as long.
 	private static final long TIMEOUT_MS = 1_000;
 
-	// Over the wait that was asked for: the way there and back, and a slow store, ms.
-	private static final long WATCH_SLACK_MS = 700;
+	// In ms, on top of the requested wait: network round trip and slow responses of the
+	// store.
+	private static final long WATCH_MARGIN_MS = 700;
 
-	private static final String ALL = "";
+	private static final String ALL_KEYS = "";
 
-	// What VMs have seen outlasts them: after all were killed the next ones know it.
+	// Entries without a lease outlive the VM that wrote them, so VMs can read them even
+	// after all were killed.
 	private static final long NO_LEASE = 0;
 
 	private final StoreClient client;
 
 	private @Nullable RouteTable configuration;
 
-	private StorePoint configurationPoint = StorePoint.NONE;
+	private StorePoint decodedAt = StorePoint.NONE;
 
-	StoreRegistry(Endpoint store, Loop loop) {
+	StoreRegistry(Endpoint store, VmEventLoop loop) {
 		this.client = new StoreClient(store, loop);
 	}
 
 	@Override
-	public void whenRestored(LongConsumer then) {
-		this.client.whenRestored(then);
+	public void whenRestored(LongConsumer listener) {
+		this.client.onRestored(listener);
 	}
 
 	long era() {
@@ -76,54 +78,56 @@
 
 	@Override
 	public Mono<RegistryNews> list() {
-		return page(ALL, new ArrayList<>(), null);
+		return readPage(ALL_KEYS, new ArrayList<>(), null);
 	}
 
-	private Mono<RegistryNews> page(String after, List<RegistryChange> sofar, @Nullable StorePoint first) {
+	private Mono<RegistryNews> readPage(String after, List<RegistryChange> collected, @Nullable StorePoint first) {
 		QueryStringEncoder q = new QueryStringEncoder("/api/kv-range");
-		q.addParam("prefix", ALL);
+		q.addParam("prefix", ALL_KEYS);
 		if (!after.isEmpty()) {
 			q.addParam("after", after);
 		}
 		return this.client.call(HttpMethod.GET, q.toString(), null, TIMEOUT_MS).flatMap((r) -> {
 			if (r.status() != OK) {
-				return Mono.error(refused(r, "range"));
+				return Mono.error(unexpectedStatus(r, "range"));
 			}
 			if (first != null && first.era() != r.era()) {
-				return Mono.error(new StoreUnavailableException("The store was restored between two pages.", "range"));
+				return Mono.error(new StoreUnavailableException(
+						"The store was restored from a snapshot between two pages.", "range"));
 			}
 			String last = "";
 			for (JsonNode item : r.body().path("items")) {
-				EntryDecoder.decode(item, r.era()).ifPresent(sofar::add);
+				StoreEntryCodec.decode(item, r.era()).ifPresent(collected::add);
 				last = item.path("key").asText();
 			}
-			// Pages are not of one moment: changes after the first page's revision are
-			// asked for again.
+			// Pages are not read from one consistent snapshot, so the watch starts at the
+			// revision of the first page and repeats any later changes.
 			StorePoint point = (first != null) ? first
 					: new StorePoint(r.era(), r.body().path("store_revision").asLong());
 			if (r.body().path("truncated").asBoolean() && !last.isEmpty()) {
-				return page(last, sofar, point);
+				return readPage(last, collected, point);
 			}
-			return Mono.just(new RegistryNews(point, sofar));
+			return Mono.just(new RegistryNews(point, collected));
 		});
 	}
 
 	@Override
 	public Mono<RegistryNews> changes(StorePoint after, long waitMs) {
 		QueryStringEncoder q = new QueryStringEncoder("/api/kv-watch");
-		q.addParam("prefix", ALL);
+		q.addParam("prefix", ALL_KEYS);
 		q.addParam("after", Long.toString(after.revision()));
 		q.addParam("wait_ms", Long.toString(waitMs));
-		return this.client.call(HttpMethod.GET, q.toString(), null, waitMs + WATCH_SLACK_MS).flatMap((r) -> {
+		return this.client.call(HttpMethod.GET, q.toString(), null, waitMs + WATCH_MARGIN_MS).flatMap((r) -> {
 			if (r.status() == GONE || r.era() != after.era()) {
-				return Mono.error(new StoreHistoryGoneException("The changes since then are gone.", "" + after));
+				return Mono.error(new StoreHistoryGoneException(
+						"The store no longer has the changes since this revision.", "" + after));
 			}
 			if (r.status() != OK) {
-				return Mono.error(refused(r, "watch"));
+				return Mono.error(unexpectedStatus(r, "watch"));
 			}
 			List<RegistryChange> changes = new ArrayList<>();
 			for (JsonNode e : r.body().path("events")) {
-				EntryDecoder.decode(e, r.era()).ifPresent(changes::add);
+				StoreEntryCodec.decode(e, r.era()).ifPresent(changes::add);
 			}
 			long revision = r.body().path("store_revision").asLong(after.revision());
 			return Mono.just(new RegistryNews(new StorePoint(r.era(), revision), changes));
@@ -132,28 +136,28 @@
 
 	@Override
 	public Mono<RouteTable> configuration() {
-		return key(Names.CONFIG_KEY).flatMap((r) -> {
+		return readKey(PlatformNames.CONFIG_KEY).flatMap((r) -> {
 			if (r.status() != OK) {
-				return Mono.error(refused(r, "key"));
+				return Mono.error(unexpectedStatus(r, "key"));
 			}
 			return Mono.fromCallable(() -> configuration(r.body(), r.era()));
 		});
 	}
 
-	// Asked for again and again while it stays the same; a large one takes some time to
-	// decode.
+	// The decoded configuration is cached: it is read repeatedly while unchanged, and a
+	// large one takes some time to decode.
 	private RouteTable configuration(JsonNode item, long era) throws InputException {
-		StorePoint p = EntryDecoder.point(item, era);
+		StorePoint p = StoreEntryCodec.point(item, era);
 		RouteTable t = this.configuration;
-		if (t == null || !p.equals(this.configurationPoint)) {
-			t = EntryDecoder.configuration(item);
+		if (t == null || !p.equals(this.decodedAt)) {
+			t = StoreEntryCodec.configuration(item);
 			this.configuration = t;
-			this.configurationPoint = p;
+			this.decodedAt = p;
 		}
 		return t;
 	}
 
-	private Mono<StoreClient.Reply> key(String key) {
+	private Mono<StoreClient.Reply> readKey(String key) {
 		QueryStringEncoder q = new QueryStringEncoder("/api/kv-key");
 		q.addParam("key", key);
 		return this.client.call(HttpMethod.GET, q.toString(), null, TIMEOUT_MS);
@@ -161,16 +165,16 @@
 
 	@Override
 	public Mono<Long> openLease(long ttlMs) {
-		ObjectNode body = EntryDecoder.JSON.createObjectNode().put("ttl_ms", ttlMs);
+		ObjectNode body = StoreEntryCodec.JSON.createObjectNode().put("ttl_ms", ttlMs);
 		return this.client.call(HttpMethod.POST, "/api/kv-lease", body, TIMEOUT_MS)
 			.flatMap((r) -> (r.status() == OK) ? Mono.just(r.body().path("lease").asLong())
-					: Mono.error(refused(r, "lease")));
+					: Mono.error(unexpectedStatus(r, "lease")));
 	}
 
 	@Override
 	public Mono<Boolean> renew(long lease) {
 		return this.client.call(HttpMethod.POST, "/api/kv-keep/" + lease, null, TIMEOUT_MS)
-			.flatMap((r) -> there(r, "keep"));
+			.flatMap((r) -> applied(r, "keep"));
 	}
 
 	@Override
@@ -180,29 +184,30 @@
 
 	@Override
 	public Mono<Boolean> register(EntryVm vm, long lease) {
-		ObjectNode body = emptyChange();
-		put(body, vm.key(), EntryDecoder.encode(vm), lease);
-		return change(body, "register");
+		ObjectNode body = newTransaction();
+		addPut(body, vm.key(), StoreEntryCodec.encode(vm), lease);
+		return transact(body, "register");
 	}
 
 	@Override
 	public Mono<Boolean> claim(String vm, long lease) {
-		ObjectNode body = emptyChange();
-		expect(body, Names.DUTY_KEY, 0);
-		put(body, Names.DUTY_KEY, EntryDecoder.encode(EntryDecoder.JSON.createObjectNode().put("vm", vm)), lease);
-		return change(body, "claim");
+		ObjectNode body = newTransaction();
+		addExpectation(body, PlatformNames.STAGE_LEADER_KEY, 0);
+		addPut(body, PlatformNames.STAGE_LEADER_KEY,
+				StoreEntryCodec.encode(StoreEntryCodec.JSON.createObjectNode().put("vm", vm)), lease);
+		return transact(body, "claim");
 	}
 
 	@Override
 	public Mono<Optional<RegistryChange.DutyHeld>> duty() {
-		return key(Names.DUTY_KEY).flatMap((r) -> {
+		return readKey(PlatformNames.STAGE_LEADER_KEY).flatMap((r) -> {
 			if (r.status() == NOT_FOUND) {
 				return Mono.just(Optional.empty());
 			}
 			if (r.status() != OK) {
-				return Mono.error(refused(r, "key"));
+				return Mono.error(unexpectedStatus(r, "key"));
 			}
-			return Mono.fromCallable(() -> Optional.of(EntryDecoder.duty(r.body(), r.era())));
+			return Mono.fromCallable(() -> Optional.of(StoreEntryCodec.duty(r.body(), r.era())));
 		});
 	}
 
@@ -211,11 +216,11 @@
 		if (fence.era() != this.client.era()) {
 			return Mono.just(false);
 		}
-		ObjectNode value = EntryDecoder.JSON.createObjectNode().put("stage", EntryDecoder.encode(stage));
-		ObjectNode body = emptyChange();
-		expect(body, Names.DUTY_KEY, fence.revision());
-		put(body, Names.STAGE_PREFIX + worker, EntryDecoder.encode(value), lease);
-		return change(body, "mark");
+		ObjectNode value = StoreEntryCodec.JSON.createObjectNode().put("stage", StoreEntryCodec.encode(stage));
+		ObjectNode body = newTransaction();
+		addExpectation(body, PlatformNames.STAGE_LEADER_KEY, fence.revision());
+		addPut(body, PlatformNames.STAGE_CHANGE_PREFIX + worker, StoreEntryCodec.encode(value), lease);
+		return transact(body, "mark");
 	}
 
 	@Override
@@ -223,67 +228,68 @@
 		if (!before.equals(StorePoint.NONE) && before.era() != this.client.era()) {
 			return Mono.just(false);
 		}
-		String key = Names.FIGURES_PREFIX + upstream;
-		ObjectNode body = emptyChange();
-		expect(body, key, before.revision());
-		put(body, key, EntryDecoder.encode(figures), NO_LEASE);
-		return change(body, "tell");
+		String key = PlatformNames.ENGINE_STATS_PREFIX + upstream;
+		ObjectNode body = newTransaction();
+		addExpectation(body, key, before.revision());
+		addPut(body, key, StoreEntryCodec.encode(figures), NO_LEASE);
+		return transact(body, "tell");
 	}
 
 	@Override
 	public Mono<Boolean> settled(long era) {
-		ObjectNode body = emptyChange();
-		ObjectNode value = EntryDecoder.JSON.createObjectNode().put("era", era);
-		put(body, Names.SETTLED_KEY, EntryDecoder.encode(value), NO_LEASE);
-		return (era == this.client.era()) ? change(body, "settled") : Mono.just(false);
+		ObjectNode body = newTransaction();
+		ObjectNode value = StoreEntryCodec.JSON.createObjectNode().put("era", era);
+		addPut(body, PlatformNames.SETTLED_ERA_KEY, StoreEntryCodec.encode(value), NO_LEASE);
+		return (era == this.client.era()) ? transact(body, "settled") : Mono.just(false);
 	}
 
 	@Override
 	public Mono<Void> unmark(String worker) {
-		ObjectNode body = emptyChange();
-		((ArrayNode) body.path("remove")).add(Names.STAGE_PREFIX + worker);
-		return change(body, "unmark").then();
+		ObjectNode body = newTransaction();
+		((ArrayNode) body.path("remove")).add(PlatformNames.STAGE_CHANGE_PREFIX + worker);
+		return transact(body, "unmark").then();
 	}
 
-	// A change to several keys, all or none.
-	private static ObjectNode emptyChange() {
-		ObjectNode body = EntryDecoder.JSON.createObjectNode();
+	// A transaction over several keys, applied completely or not at all.
+	private static ObjectNode newTransaction() {
+		ObjectNode body = StoreEntryCodec.JSON.createObjectNode();
 		body.putArray("expected");
 		body.putArray("puts");
 		body.putArray("remove");
 		return body;
 	}
 
-	private static void expect(ObjectNode body, String key, long revision) {
+	private static void addExpectation(ObjectNode body, String key, long revision) {
 		((ArrayNode) body.path("expected")).addObject().put("key", key).put("revision", revision);
 	}
 
-	private static void put(ObjectNode body, String key, String value, long lease) {
+	private static void addPut(ObjectNode body, String key, String value, long lease) {
 		((ArrayNode) body.path("puts")).addObject().put("key", key).put("value", value).put("lease", lease);
 	}
 
-	private Mono<Boolean> change(ObjectNode body, String what) {
-		boolean begun = this.client.begun();
+	private Mono<Boolean> transact(ObjectNode body, String call) {
+		boolean eraKnown = this.client.hasAnswered();
 		long era = this.client.era();
 		return this.client.call(HttpMethod.POST, "/api/kv-txn", body, TIMEOUT_MS).flatMap((r) -> {
-			if (r.era() == era || !begun) {
-				return there(r, what);
+			if (r.era() == era || !eraKnown) {
+				return applied(r, call);
 			}
-			Logger.info("[store] write across a restore call={} sent={} answered={}", what, era, r.era());
+			Logger.info("[store] write spans a restore, treated as failed call={} sent={} answered={}", call, era,
+					r.era());
 			return Mono.just(false);
 		});
 	}
 
-	private static Mono<Boolean> there(StoreClient.Reply r, String call) {
+	private static Mono<Boolean> applied(StoreClient.Reply r, String call) {
 		return switch (r.status()) {
 			case OK -> Mono.just(true);
-			case NOT_FOUND, OTHER_REVISION -> Mono.just(false);
-			default -> Mono.error(refused(r, call));
+			case NOT_FOUND, PRECONDITION_FAILED -> Mono.just(false);
+			default -> Mono.error(unexpectedStatus(r, call));
 		};
 	}
 
-	private static StoreUnavailableException refused(StoreClient.Reply r, String call) {
-		return new StoreUnavailableException("The store refused the call with status " + r.status() + ".", call);
+	private static StoreUnavailableException unexpectedStatus(StoreClient.Reply r, String call) {
+		return new StoreUnavailableException("The store responded with status " + r.status() + ".", call);
 	}
 
 }
--- a/src/main/java/io/shallotspur/platform/RehearsalStandins.java
+++ b/src/main/java/io/shallotspur/platform/TrainingRunServer.java
@@ -18,19 +18,19 @@
 import io.shallotspur.cfg.Endpoint;
 
 /**
- * The store and the workers of a rehearsal: one server that gives each call a plausible
- * answer. Thread-safe.
+ * The store and the workers of a training run: one server that gives each call a
+ * plausible response. Thread-safe.
  */
-final class RehearsalStandins {
+final class TrainingRunServer {
 
-	private static final Duration WATCH = Duration.ofMillis(200);
+	private static final Duration WATCH_DELAY = Duration.ofMillis(200);
 
-	private static final int REFUSAL = 503;
+	private static final int SERVICE_UNAVAILABLE = 503;
 
 	private final DisposableServer server;
 
-	RehearsalStandins() {
-		this.server = HttpServer.create().host("127.0.0.1").port(0).handle(this::answer).bindNow();
+	TrainingRunServer() {
+		this.server = HttpServer.create().host("127.0.0.1").port(0).handle(this::handle).bindNow();
 	}
 
 	Endpoint address() {
@@ -41,14 +41,14 @@
 		this.server.disposeNow();
 	}
 
-	private Publisher<Void> answer(HttpServerRequest q, HttpServerResponse s) {
-		return q.receive().aggregate().then(Mono.defer(() -> Mono.from(answered(q, s))));
+	private Publisher<Void> handle(HttpServerRequest q, HttpServerResponse s) {
+		return q.receive().aggregate().then(Mono.defer(() -> Mono.from(respond(q, s))));
 	}
 
-	private Publisher<Void> answered(HttpServerRequest q, HttpServerResponse s) {
+	private Publisher<Void> respond(HttpServerRequest q, HttpServerResponse s) {
 		String path = q.uri();
 		if (path.startsWith("/api/kv-watch")) {
-			return Mono.delay(WATCH).then(Mono.defer(() -> Mono.from(json(s, event()))));
+			return Mono.delay(WATCH_DELAY).then(Mono.defer(() -> Mono.from(json(s, event()))));
 		}
 		if (path.startsWith("/api/kv-range")) {
 			return json(s, listing());
@@ -60,15 +60,15 @@
 	}
 
 	private static Publisher<Void> worker(HttpHeaders h, String path, HttpServerResponse s) {
-		s.header(Names.REQUEST_ID, h.get(Names.REQUEST_ID)).header(Names.LOAD, "1,0,6");
-		if (h.contains(Names.STAGE)) {
+		s.header(PlatformNames.REQUEST_ID, h.get(PlatformNames.REQUEST_ID)).header(PlatformNames.LOAD, "1,0,6");
+		if (h.contains(PlatformNames.STAGE)) {
 			return json(s, "{\"kv_handle\":\"k\",\"tokens\":1,\"version\":1}");
 		}
 		if (path.endsWith("full")) {
-			return s.status(REFUSAL).header(Names.NOT_RUN, "1").send();
+			return s.status(SERVICE_UNAVAILABLE).header(PlatformNames.NOT_EXECUTED, "1").send();
 		}
-		s.header(Names.SIGNATURE, "s");
-		if (h.contains(Names.TOKEN_COUNTS)) {
+		s.header(PlatformNames.SIGNATURE, "s");
+		if (h.contains(PlatformNames.TOKEN_COUNTS)) {
 			return s.header("Content-Type", "text/event-stream")
 				.sendString(Flux.just("id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"));
 		}
@@ -80,9 +80,9 @@
 	}
 
 	private String listing() {
-		ObjectNode n = EntryDecoder.JSON.createObjectNode().put("store_revision", 2).put("truncated", false);
+		ObjectNode n = StoreEntryCodec.JSON.createObjectNode().put("store_revision", 2).put("truncated", false);
 		ArrayNode items = n.putArray("items");
-		item(items, Names.CONFIG_KEY, """
+		item(items, PlatformNames.CONFIG_KEY, """
 				{"version":1,"routes":[
 				{"name":"p","host":"h","prefix":"/p/","kind":"safe","timeout_ms":900,"target_latency_ms":300,
 				"priority":2,"service":"plain","max_attempts":2},
@@ -99,15 +99,15 @@
 	}
 
 	private void worker(ArrayNode items, String upstream, String id, String stage) {
-		String does = stage.isEmpty() ? "" : ",\"stage\":\"" + stage + "\"";
-		item(items, Names.WORKER_PREFIX + id, """
+		String stageField = stage.isEmpty() ? "" : ",\"stage\":\"" + stage + "\"";
+		item(items, PlatformNames.WORKER_PREFIX + id, """
 				{"service":"%s","address":"%s","zone":"here","version":"v1","slots":6,"state":"ready",
-				"cold_remaining_ms":0,"sequence_number":1%s}""".formatted(upstream, address(), does));
+				"cold_remaining_ms":0,"sequence_number":1%s}""".formatted(upstream, address(), stageField));
 	}
 
 	private String event() {
-		ObjectNode n = EntryDecoder.JSON.createObjectNode().put("store_revision", 3);
-		item(n.putArray("events"), Names.DUTY_KEY, "{\"vm\":\"vms/other\"}");
+		ObjectNode n = StoreEntryCodec.JSON.createObjectNode().put("store_revision", 3);
+		item(n.putArray("events"), PlatformNames.STAGE_LEADER_KEY, "{\"vm\":\"vms/other\"}");
 		return n.toString();
 	}
 
--- a/src/main/java/io/shallotspur/platform/Loop.java
+++ b/src/main/java/io/shallotspur/platform/VmEventLoop.java
@@ -12,14 +12,14 @@
 import io.shallotspur.gateway.GatewayTimer;
 
 /**
- * The one event loop on which all of an entry VM runs: sockets, timers and the gateway.
- * Thread-safe. A VM has less than one core; more threads would only take turns.
+ * The single event loop that runs an entry VM's sockets, timers and gateway. Thread-safe.
+ * A VM has less than one core, so more threads would only compete for it.
  */
-final class Loop implements GatewayTimer {
+final class VmEventLoop implements GatewayTimer {
 
-	private static final Duration QUIET = Duration.ZERO;
+	private static final Duration QUIET_PERIOD = Duration.ZERO;
 
-	private static final Duration CLOSE = Duration.ofMillis(500);
+	private static final Duration CLOSE_TIMEOUT = Duration.ofMillis(500);
 
 	private final LoopResources resources = LoopResources.create("gateway", 1, true);
 
@@ -46,7 +46,7 @@
 	}
 
 	void close() {
-		this.resources.disposeLater(QUIET, CLOSE).block(CLOSE.multipliedBy(2));
+		this.resources.disposeLater(QUIET_PERIOD, CLOSE_TIMEOUT).block(CLOSE_TIMEOUT.multipliedBy(2));
 	}
 
 }
--- a/src/main/java/io/shallotspur/platform/WorkerClient.java
+++ b/src/main/java/io/shallotspur/platform/WorkerClient.java
@@ -12,9 +12,9 @@
 import io.shallotspur.gateway.WorkerInfo;
 
 /**
- * Calls to workers that are not callers' requests: reservations, reports, orders. Each
- * names the worker it is meant for, so that another one at its address refuses. Confined
- * to the event loop.
+ * Client for control calls to workers: reservations, reports and orders. Each call names
+ * the worker that it is meant for, so that a different worker at the same address rejects
+ * it. Confined to the event loop.
  */
 final class WorkerClient {
 
@@ -22,7 +22,7 @@
 
 	/**
 	 * Creates a client.
-	 * @param client the client of all calls to workers
+	 * @param client the HTTP client shared by all calls to workers
 	 */
 	WorkerClient(HttpClient client) {
 		this.client = client;
@@ -33,7 +33,7 @@
 	 * @param method the method
 	 * @param worker the worker
 	 * @param path the path
-	 * @return the call, sent when the answer is asked for
+	 * @return the call, sent when its response is subscribed to
 	 */
 	HttpClient.ResponseReceiver<?> call(HttpMethod method, WorkerInfo worker, String path) {
 		return expecting(worker).request(method).uri(uri(worker, path));
@@ -44,7 +44,7 @@
 	 * @param worker the worker
 	 * @param path the path
 	 * @param body the body
-	 * @return the call, sent when the answer is asked for
+	 * @return the call, sent when its response is subscribed to
 	 */
 	HttpClient.ResponseReceiver<?> post(WorkerInfo worker, String path, JsonNode body) {
 		byte[] bytes = body.toString().getBytes(StandardCharsets.UTF_8);
@@ -55,7 +55,7 @@
 	}
 
 	private HttpClient expecting(WorkerInfo worker) {
-		return this.client.headers((h) -> h.set(Names.EXPECTED_WORKER, worker.id()));
+		return this.client.headers((h) -> h.set(PlatformNames.EXPECTED_INSTANCE, worker.id()));
 	}
 
 	private static String uri(WorkerInfo worker, String path) {
--- a/src/main/java/io/shallotspur/platform/package-info.java
+++ b/src/main/java/io/shallotspur/platform/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Runs the gateway on the users' platform. This package only translates: it decodes the
- * platform's store, settings, headers and worker protocol into the product's types, and
- * back. It decides nothing, keeps no state beyond connections, and nothing outside it
- * knows the platform's names.
+ * Adapter that runs the gateway on the users' platform. It translates the platform's
+ * store entries, settings, headers and worker protocol into the gateway's types and back.
+ * It makes no routing decisions and keeps no state beyond its connections; the platform's
+ * names are used only in this package.
  */
 @NullMarked
 package io.shallotspur.platform;
--- a/src/test/java/io/shallotspur/platform/PatientBindTests.java
+++ b/src/test/java/io/shallotspur/platform/BindRetryTests.java
@@ -16,13 +16,13 @@
 import reactor.netty.tcp.TcpServer;
 
 /**
- * Tests of {@link PatientBind}.
+ * Tests of {@link BindRetry}.
  */
-class PatientBindTests {
+class BindRetryTests {
 
-	private static final Duration LIMIT = Duration.ofSeconds(20);
+	private static final Duration TIMEOUT = Duration.ofSeconds(20);
 
-	private final Loop loop = new Loop();
+	private final VmEventLoop loop = new VmEventLoop();
 
 	@AfterEach
 	void close() {
@@ -33,18 +33,18 @@
 		return TcpServer.create().host("127.0.0.1").port(port).runOn(this.loop.resources(), false).bind();
 	}
 
-	// A VM was killed, and while it was down another connection was given its port. The
-	// VM that starts there ended at once with code 1 and was missing.
+	// While a killed VM was down, its port was assigned to another connection. The
+	// restarted VM exited at once with code 1 and stayed down.
 	@Test
-	void waitsForAPortThatIsTakenForAMoment() throws IOException {
+	void retriesUntilThePortIsFree() throws IOException {
 		ServerSocket other = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
 		int port = other.getLocalPort();
-		Assertions.assertThatThrownBy(() -> bind(port).block(LIMIT)).isInstanceOf(ChannelBindException.class);
-		CompletableFuture<DisposableServer> server = PatientBind.of(bind(port), this.loop.scheduler())
+		Assertions.assertThatThrownBy(() -> bind(port).block(TIMEOUT)).isInstanceOf(ChannelBindException.class);
+		CompletableFuture<DisposableServer> server = BindRetry.withRetry(bind(port), this.loop.scheduler())
 			.cast(DisposableServer.class)
 			.toFuture();
 		other.close();
-		DisposableServer s = server.orTimeout(LIMIT.toSeconds(), TimeUnit.SECONDS).join();
+		DisposableServer s = server.orTimeout(TIMEOUT.toSeconds(), TimeUnit.SECONDS).join();
 		Assertions.assertThat(s.port()).isEqualTo(port);
 		s.disposeNow();
 	}
--- a/src/test/java/io/shallotspur/platform/CustomerDecodingTests.java
+++ b/src/test/java/io/shallotspur/platform/CustomerConfigTests.java
@@ -13,12 +13,12 @@
 import io.shallotspur.route.RouteTable;
 
 /**
- * Tests of how customers are decoded from the operator's configuration.
+ * Tests that customers are decoded from the operator's configuration.
  */
-class CustomerDecodingTests {
+class CustomerConfigTests {
 
-	private static RouteTable table(String tenants) throws IOException, InputException {
-		return ConfigDecoder.decode(EntryDecoder.JSON.readTree("""
+	private static RouteTable decodeTable(String tenants) throws IOException, InputException {
+		return ConfigDecoder.decode(StoreEntryCodec.JSON.readTree("""
 				{"version":7,"routes":[{"name":"r","host":"h","prefix":"/r/","kind":"safe","priority":2,"service":"s"},
 				{"name":"o","host":"h","prefix":"/o/","kind":"safe","service":"s","allow_anonymous":true}],
 				"services":[{"name":"s"}]%s}""".formatted(tenants)));
@@ -29,8 +29,8 @@
 	}
 
 	@Test
-	void decodesKeysRankAndQuota() throws IOException, InputException {
-		RouteTable t = table("""
+	void decodesKeysPriorityAndQuota() throws IOException, InputException {
+		RouteTable t = decodeTable("""
 				,"tenants":[{"name":"huka270","api_keys":["k1","k2"],"priority":1,"unit":"tokens","plain_tokens":200,
 				"rate_per_s":246600,"burst_size":123300,"new_field":1}]""");
 		Customer c = customer(t, "k2");
@@ -46,23 +46,22 @@
 		Assertions.assertThat(t.find("h", "/o/x").orElseThrow().anonymous()).isTrue();
 	}
 
-	// No rate, or none that is more than 0, is no limit; taken for one, the customer
-	// would
-	// be refused everything.
+	// A missing or zero rate means no limit. If it were taken as a limit of zero, every
+	// request of the customer would be refused.
 	@Test
-	void whatIsLeftOutIsNoLimitAndNoRank() throws IOException, InputException {
-		RouteTable t = table(
+	void missingRateAndPriorityUseDefaults() throws IOException, InputException {
+		RouteTable t = decodeTable(
 				",\"tenants\":[{\"name\":\"a\",\"api_keys\":[\"k1\"]},{\"name\":\"b\",\"api_keys\":[\"k2\"],\"rate_per_s\":0}]");
 		Assertions.assertThat(customer(t, "k1").quota().limited()).isFalse();
 		Assertions.assertThat(customer(t, "k2").quota().limited()).isFalse();
 		Assertions.assertThat(customer(t, "k1").priorityOn(t.find("h", "/r/x").orElseThrow())).isEqualTo(2);
 	}
 
-	// The last key of a customer is taken away. Its callers must not become anonymous.
+	// The last key of a customer is removed. Its callers must not be served as anonymous.
 	@Test
-	void aCustomerWithoutKeysStillMakesCallersShowOne() throws IOException, InputException {
-		Assertions.assertThat(table(",\"tenants\":[{\"name\":\"a\",\"api_keys\":[]}]").asksForKeys()).isTrue();
-		Assertions.assertThat(table("").asksForKeys()).isFalse();
+	void customerWithoutKeysStillRequiresAKey() throws IOException, InputException {
+		Assertions.assertThat(decodeTable(",\"tenants\":[{\"name\":\"a\",\"api_keys\":[]}]").asksForKeys()).isTrue();
+		Assertions.assertThat(decodeTable("").asksForKeys()).isFalse();
 	}
 
 }
--- a/src/test/java/io/shallotspur/platform/DeployTemplateTests.java
+++ b/src/test/java/io/shallotspur/platform/DeployTemplateTests.java
@@ -15,8 +15,8 @@
 import io.shallotspur.exc.ShallotspurException;
 
 /**
- * Tests that the deploy template renders to settings that are read, whatever the platform
- * says. A mistake there would keep every VM from starting.
+ * Tests that the deploy template renders to valid settings with any set of optional
+ * platform fields. An error in the template would prevent every VM from starting.
  */
 class DeployTemplateTests {
 
@@ -67,22 +67,22 @@
 		return PlatformSettings.read(f);
 	}
 
-	// Sections are rendered if their field is there; a point stands for its value.
+	// Renders a section only if its field is set; {{.}} in it stands for the value.
 	private static String render(String text, Map<String, String> fields) {
 		Matcher m = SECTION.matcher(text);
 		StringBuilder b = new StringBuilder();
 		while (m.find()) {
 			String value = fields.get(m.group(1));
-			boolean shown = value != null && !value.equals("false");
-			String inner = shown ? render(m.group(2), fields).replace("{{.}}", value) : "";
-			m.appendReplacement(b, Matcher.quoteReplacement(inner));
+			boolean rendered = value != null && !value.equals("false");
+			String content = rendered ? render(m.group(2), fields).replace("{{.}}", value) : "";
+			m.appendReplacement(b, Matcher.quoteReplacement(content));
 		}
 		m.appendTail(b);
 		return VALUE.matcher(b).replaceAll((v) -> fields.getOrDefault(v.group(1), ""));
 	}
 
 	@Test
-	void takesAllThatThePlatformSays() throws IOException, ShallotspurException {
+	void rendersAllOptionalFields() throws IOException, ShallotspurException {
 		PlatformSettings s = read(full());
 		Assertions.assertThat(s.gateway().revokedKeyMs()).isEqualTo(5_000);
 		Assertions.assertThat(s.gateway().quotas().windowMs()).isEqualTo(8_000);
@@ -93,17 +93,17 @@
 		Assertions.assertThat(s.orders().fenced()).isTrue();
 	}
 
-	// A deployment without customers, orders and bounds says nothing of them.
+	// A deployment without customers, orders and bounds has no fields for them.
 	@Test
-	void doesWithoutWhatThePlatformDoesNotSay() throws IOException, ShallotspurException {
+	void rendersWithoutOptionalFields() throws IOException, ShallotspurException {
 		PlatformSettings s = read(required());
 		Assertions.assertThat(s.gateway().revokedKeyMs()).isZero();
 		Assertions.assertThat(s.orders().fenced()).isFalse();
 	}
 
-	// Where the platform does not insist on revocation, its bound is none.
+	// Without strict revocation, the time limit for revoked keys does not apply.
 	@Test
-	void takesTheBoundForRevokedKeysOnlyWhereItIsStrict() throws IOException, ShallotspurException {
+	void revokedKeyLimitRequiresStrictRevocation() throws IOException, ShallotspurException {
 		Map<String, String> m = full();
 		m.put("bounds.strict_revocation", "false");
 		Assertions.assertThat(read(m).gateway().revokedKeyMs()).isZero();
--- a/src/test/java/io/shallotspur/platform/FakeStore.java
+++ b/src/test/java/io/shallotspur/platform/FakeStore.java
@@ -27,9 +27,9 @@
 import io.shallotspur.cfg.Endpoint;
 
 /**
- * A stand-in for the platform's store with its failures: away, history dropped, restored
- * from an older copy, small pages, answers that are not JSON. Leases of entry VMs end by
- * themselves. Thread-safe: methods hold its monitor.
+ * A fake of the platform's store that can simulate its failures: unavailability, dropped
+ * history, a restore from an older snapshot, small pages and responses that are not JSON.
+ * Leases expire. Thread-safe: methods hold the monitor.
  */
 public final class FakeStore {
 
@@ -53,27 +53,27 @@
 
 	private long lease = 100;
 
-	private long firstKept;
+	private long oldestRevision;
 
 	private int pageSize = 500;
 
-	private boolean away;
+	private boolean unavailable;
 
-	private boolean nonsense;
+	private boolean malformedResponses;
 
 	private long era = 1;
 
-	private Copy copy = new Copy(Map.of(), List.of(), Set.of(), 1);
+	private Snapshot snapshot = new Snapshot(Map.of(), List.of(), Set.of(), 1);
 
 	public FakeStore() {
 		this.server = HttpServer.create()
 			.host("127.0.0.1")
 			.port(0)
-			.route((r) -> r.get("/api/kv-range", this::range)
+			.route((r) -> r.get("/api/kv-range", this::listItems)
 				.get("/api/kv-key", this::key)
 				.get("/api/kv-watch", this::watch)
-				.post("/api/kv-lease", this::lease)
-				.post("/api/kv-keep/{id}", this::keep)
+				.post("/api/kv-lease", this::openLease)
+				.post("/api/kv-keep/{id}", this::renewLease)
 				.delete("/api/kv-lease-end/{id}", this::endLease)
 				.post("/api/kv-txn", this::txn))
 			.bindNow();
@@ -83,50 +83,50 @@
 		return new Endpoint("127.0.0.1", this.server.port());
 	}
 
-	int ranges() {
+	int rangeCalls() {
 		return this.ranges.get();
 	}
 
 	public synchronized void setUnavailable(boolean yes) {
-		this.away = yes;
+		this.unavailable = yes;
 	}
 
 	public synchronized void setMalformedResponses(boolean yes) {
-		this.nonsense = yes;
+		this.malformedResponses = yes;
 	}
 
-	synchronized void pageSize(int n) {
+	synchronized void setPageSize(int n) {
 		this.pageSize = n;
 	}
 
 	public synchronized void dropHistory() {
-		this.firstKept = this.revision;
+		this.oldestRevision = this.revision;
 		this.events.clear();
 	}
 
-	/** Makes the copy from which the store can come back. */
+	/** Takes the snapshot that {@link #restoreSnapshot} restores. */
 	public synchronized void takeSnapshot() {
-		this.copy = new Copy(Map.copyOf(this.items), List.copyOf(this.events), Set.copyOf(this.leases.keySet()),
+		this.snapshot = new Snapshot(Map.copyOf(this.items), List.copyOf(this.events), Set.copyOf(this.leases.keySet()),
 				this.revision);
 	}
 
-	/** Comes back from the copy: all that was written since is lost, leases too. */
+	/** Restores the snapshot; later writes and leases are lost, and a new era begins. */
 	public synchronized void restoreSnapshot() {
 		this.items.clear();
-		this.items.putAll(this.copy.items());
+		this.items.putAll(this.snapshot.items());
 		this.events.clear();
-		this.events.addAll(this.copy.events());
-		this.leases.keySet().retainAll(this.copy.leases());
-		this.revision = this.copy.revision();
+		this.events.addAll(this.snapshot.events());
+		this.leases.keySet().retainAll(this.snapshot.leases());
+		this.revision = this.snapshot.revision();
 		this.era++;
 	}
 
-	/** Gives out leases again that another one had. */
-	synchronized void reuseLease(long number) {
+	/** Grants a lease with a number that was already used in an earlier era. */
+	synchronized void reassignLease(long number) {
 		this.leases.put(number, System.nanoTime() + TTL.toNanos());
 	}
 
-	synchronized void era(long next) {
+	synchronized void setEra(long next) {
 		this.era = next;
 	}
 
@@ -158,16 +158,17 @@
 		this.server.disposeNow();
 	}
 
-	// Leases run on while the store is away, as they may.
-	private synchronized Publisher<Void> lease(HttpServerRequest q, HttpServerResponse s) {
+	// Lease calls have effect even while the store is unavailable, which the platform
+	// allows.
+	private synchronized Publisher<Void> openLease(HttpServerRequest q, HttpServerResponse s) {
 		this.leases.put(++this.lease, System.nanoTime() + TTL.toNanos());
 		return send(s, 200, JSON.createObjectNode().put("lease", this.lease).put("ttl_ms", TTL.toMillis()));
 	}
 
-	private synchronized Publisher<Void> keep(HttpServerRequest q, HttpServerResponse s) {
+	private synchronized Publisher<Void> renewLease(HttpServerRequest q, HttpServerResponse s) {
 		expire();
 		long id = Long.parseLong(q.param("id"));
-		if (!this.away && this.leases.replace(id, System.nanoTime() + TTL.toNanos()) == null) {
+		if (!this.unavailable && this.leases.replace(id, System.nanoTime() + TTL.toNanos()) == null) {
 			return send(s, 404, JSON.createObjectNode());
 		}
 		return send(s, 200, JSON.createObjectNode().put("ttl_ms", TTL.toMillis()));
@@ -175,10 +176,13 @@
 
 	private void expire() {
 		long now = System.nanoTime();
-		List.copyOf(this.leases.entrySet()).stream().filter((e) -> e.getValue() < now).forEach((e) -> end(e.getKey()));
+		List.copyOf(this.leases.entrySet())
+			.stream()
+			.filter((e) -> e.getValue() < now)
+			.forEach((e) -> removeLease(e.getKey()));
 	}
 
-	private void end(long id) {
+	private void removeLease(long id) {
 		this.leases.remove(id);
 		List.copyOf(this.items.values())
 			.stream()
@@ -187,7 +191,7 @@
 	}
 
 	private synchronized Publisher<Void> endLease(HttpServerRequest q, HttpServerResponse s) {
-		end(Long.parseLong(q.param("id")));
+		removeLease(Long.parseLong(q.param("id")));
 		return send(s, 200, JSON.createObjectNode());
 	}
 
@@ -197,10 +201,10 @@
 				JsonNode n = JSON.readTree(body);
 				synchronized (this) {
 					expire();
-					if (this.away) {
+					if (this.unavailable) {
 						return Mono.from(s.status(503).send());
 					}
-					if (!holds(n.path("expected"))) {
+					if (!expectationsHold(n.path("expected"))) {
 						return Mono.from(send(s, 412, JSON.createObjectNode()));
 					}
 					n.path("remove").forEach((k) -> remove(k.asText()));
@@ -216,7 +220,7 @@
 		});
 	}
 
-	private boolean holds(JsonNode expected) {
+	private boolean expectationsHold(JsonNode expected) {
 		boolean all = true;
 		for (JsonNode e : expected) {
 			ObjectNode item = this.items.get(e.path("key").asText());
@@ -231,7 +235,7 @@
 		return (item != null) ? send(s, 200, item) : send(s, 404, JSON.createObjectNode());
 	}
 
-	private synchronized Publisher<Void> range(HttpServerRequest q, HttpServerResponse s) {
+	private synchronized Publisher<Void> listItems(HttpServerRequest q, HttpServerResponse s) {
 		this.ranges.incrementAndGet();
 		String after = param(q, "after", "");
 		ObjectNode out = JSON.createObjectNode();
@@ -259,11 +263,11 @@
 	private Mono<Void> poll(HttpServerResponse s, long after, long end) {
 		synchronized (this) {
 			expire();
-			if (after < this.firstKept || after > this.revision) {
+			if (after < this.oldestRevision || after > this.revision) {
 				return Mono.from(send(s, 410, JSON.createObjectNode()));
 			}
 			boolean any = this.events.stream().anyMatch((e) -> e.path("revision").asLong() > after);
-			if (any || this.away || System.nanoTime() > end) {
+			if (any || this.unavailable || System.nanoTime() > end) {
 				ObjectNode out = JSON.createObjectNode().put("store_revision", this.revision);
 				ArrayNode l = out.putArray("events");
 				this.events.stream().filter((e) -> e.path("revision").asLong() > after).forEach(l::add);
@@ -274,11 +278,11 @@
 	}
 
 	private synchronized Publisher<Void> send(HttpServerResponse s, int status, JsonNode body) {
-		s.header(Names.STORE_ERA, Long.toString(this.era));
-		if (this.away) {
+		s.header(PlatformNames.STORE_ERA, Long.toString(this.era));
+		if (this.unavailable) {
 			return s.status(503).send();
 		}
-		String text = this.nonsense ? "<html>" : body.toString();
+		String text = this.malformedResponses ? "<html>" : body.toString();
 		return s.status(status).sendString(Mono.just(text));
 	}
 
@@ -287,7 +291,7 @@
 		return (l != null) ? l.get(0) : dflt;
 	}
 
-	private record Copy(Map<String, ObjectNode> items, List<ObjectNode> events, Set<Long> leases, long revision) {
+	private record Snapshot(Map<String, ObjectNode> items, List<ObjectNode> events, Set<Long> leases, long revision) {
 
 	}
 
--- a/src/test/java/io/shallotspur/platform/WorkerDouble.java
+++ b/src/test/java/io/shallotspur/platform/FakeWorker.java
@@ -20,25 +20,25 @@
 import io.shallotspur.gateway.WorkerStage;
 
 /**
- * A stand-in for a worker of either kind. Behaves well unless a behaviour was queued for
- * the next request. Thread-safe.
+ * A fake plain, prefill or decode worker. Responds normally unless a behaviour is queued
+ * for the next request. Thread-safe.
  */
-final class WorkerDouble {
+final class FakeWorker {
 
-	final Queue<Behaviour> next = new ConcurrentLinkedQueue<>();
+	final Queue<Behaviour> nextBehaviours = new ConcurrentLinkedQueue<>();
 
-	final List<HttpHeaders> seen = new CopyOnWriteArrayList<>();
+	final List<HttpHeaders> receivedHeaders = new CopyOnWriteArrayList<>();
 
-	final List<String> paths = new CopyOnWriteArrayList<>();
+	final List<String> receivedRequests = new CopyOnWriteArrayList<>();
 
-	final AtomicInteger cancelled = new AtomicInteger();
+	final AtomicInteger closedConnections = new AtomicInteger();
 
 	final List<String> orders = new CopyOnWriteArrayList<>();
 
 	volatile int orderStatus = 202;
 
-	// Requests a second that it says it takes; empty for none.
-	volatile String limit = "";
+	// The Server-Limit header of its responses, in requests per second; empty for none.
+	volatile String rateLimit = "";
 
 	private final DisposableServer server;
 
@@ -46,7 +46,7 @@
 
 	private final String stage;
 
-	WorkerDouble(String id, String stage) {
+	FakeWorker(String id, String stage) {
 		this.id = id;
 		this.stage = stage;
 		this.server = HttpServer.create().host("127.0.0.1").port(0).handle(this::handle).bindNow();
@@ -59,8 +59,8 @@
 				state, this.stage.isEmpty() ? "" : "\"stage\":\"" + this.stage + "\",");
 	}
 
-	WorkerInfo info(WorkerStage does) {
-		return new WorkerInfo(this.id, "llm", "127.0.0.1", this.server.port(), "hall-a", 6, does, false, 0, 0);
+	WorkerInfo info(WorkerStage stage) {
+		return new WorkerInfo(this.id, "llm", "127.0.0.1", this.server.port(), "hall-a", 6, stage, false, 0, 0);
 	}
 
 	void stop() {
@@ -86,20 +86,20 @@
 		if (q.uri().startsWith("/api/")) {
 			return s.send();
 		}
-		this.seen.add(q.requestHeaders());
-		this.paths.add(q.method() + " " + q.uri() + " " + body);
+		this.receivedHeaders.add(q.requestHeaders());
+		this.receivedRequests.add(q.method() + " " + q.uri() + " " + body);
 		s.header("X-Request-Id", q.requestHeaders().get("X-Request-Id", ""));
-		if (!this.limit.isEmpty()) {
-			s.header("Server-Limit", this.limit);
+		if (!this.rateLimit.isEmpty()) {
+			s.header("Server-Limit", this.rateLimit);
 		}
 		if ("prefill".equals(q.requestHeaders().get("X-Stage"))) {
 			return s.sendString(Mono.just("{\"kv_handle\":\"kv1\",\"tokens\":1,\"version\":1}"));
 		}
-		Behaviour b = this.next.poll();
-		return (b != null) ? b.answer(s) : well(s);
+		Behaviour b = this.nextBehaviours.poll();
+		return (b != null) ? b.answer(s) : normalResponse(s);
 	}
 
-	private Publisher<Void> well(HttpServerResponse s) {
+	private Publisher<Void> normalResponse(HttpServerResponse s) {
 		s.header("X-Server-Stamp", "stamp-" + this.id).header("X-Server-Load", "1,0,6");
 		if (this.stage.isEmpty()) {
 			return s.sendString(Mono.just("fine from " + this.id));
@@ -108,42 +108,42 @@
 			.sendString(Flux.just("id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"));
 	}
 
-	// Says that it has not run the request.
-	static Publisher<Void> full(HttpServerResponse s) {
+	// Refuses the request as not executed.
+	static Publisher<Void> refuseAsFull(HttpServerResponse s) {
 		return s.status(503).header("X-Not-Executed", "1").send();
 	}
 
-	// Closes the connection without an answer.
-	static Publisher<Void> reset(HttpServerResponse s) {
+	// Closes the connection without a response.
+	static Publisher<Void> closeWithoutResponse(HttpServerResponse s) {
 		return s.withConnection((c) -> c.channel().close()).neverComplete();
 	}
 
-	// Promises more than it sends.
-	static Publisher<Void> cut(HttpServerResponse s) {
+	// Sends fewer bytes than its Content-Length.
+	static Publisher<Void> truncatedBody(HttpServerResponse s) {
 		s.header("X-Server-Stamp", "x").header("Content-Length", "100");
 		return s.sendByteArray(Flux.just("half".getBytes()).concatWith(Flux.error(new RuntimeException())));
 	}
 
-	// Answers another request.
-	static Publisher<Void> foreign(HttpServerResponse s) {
+	// Sends the response to another request.
+	static Publisher<Void> responseToOtherRequest(HttpServerResponse s) {
 		return s.header("X-Request-Id", "other").header("X-Server-Stamp", "x").sendString(Mono.just("not yours"));
 	}
 
-	// Breaks off in the middle of an event.
-	static Publisher<Void> tornStream(HttpServerResponse s) {
+	// Ends the stream in the middle of an event.
+	static Publisher<Void> truncatedStream(HttpServerResponse s) {
 		s.header("X-Server-Stamp", "x").header("Content-Type", "text/event-stream");
 		return s.sendString(Flux.just("id: 1\ndata: a\n\n", "id: 2\nda").concatWith(Flux.error(new RuntimeException())),
 				StandardCharsets.UTF_8);
 	}
 
-	// Never answers; notes when its connection is closed.
-	Publisher<Void> silent(HttpServerResponse s) {
-		s.withConnection((c) -> c.channel().closeFuture().addListener((f) -> this.cancelled.incrementAndGet()));
+	// Never responds; counts the closing of its connection.
+	Publisher<Void> noResponse(HttpServerResponse s) {
+		s.withConnection((c) -> c.channel().closeFuture().addListener((f) -> this.closedConnections.incrementAndGet()));
 		return Mono.never();
 	}
 
 	/**
-	 * What a worker does with one request.
+	 * The response to one request.
 	 */
 	@FunctionalInterface
 	interface Behaviour {
--- a/src/test/java/io/shallotspur/platform/HttpStagePortTests.java
+++ b/src/test/java/io/shallotspur/platform/HttpStagePortTests.java
@@ -14,15 +14,15 @@
 import io.shallotspur.stage.StageReport;
 
 /**
- * Tests of {@link HttpStagePort}, against a stand-in for a worker.
+ * Tests of {@link HttpStagePort} against a fake worker.
  */
 class HttpStagePortTests {
 
-	private final WorkerDouble worker = new WorkerDouble("d1", "decode");
+	private final FakeWorker worker = new FakeWorker("d1", "decode");
 
-	private final Loop loop = new Loop();
+	private final VmEventLoop loop = new VmEventLoop();
 
-	private final HttpStagePort port = new HttpStagePort(new HttpWorkerPort(this.loop).side(), this.loop);
+	private final HttpStagePort port = new HttpStagePort(new HttpWorkerPort(this.loop).controlClient(), this.loop);
 
 	@AfterEach
 	void stop() {
@@ -35,14 +35,14 @@
 	}
 
 	@Test
-	void readsAReport() {
+	void decodesReport() {
 		Assertions.assertThat(this.port.report(info()).block())
 			.isEqualTo(new StageReport(WorkerStage.DECODE, false, 4, 0));
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "200,ACCEPTED", "202,ACCEPTED", "400,REFUSED", "409,CONFLICT", "412,FENCED", "421,REPLACED" })
-	void tellsHowAnOrderWasTaken(int status, OrderResult expected) {
+	void mapsStatusOfOrder(int status, OrderResult expected) {
 		this.worker.orderStatus = status;
 		OrderResult r = this.port.order(new StageOrder(info(), WorkerStage.PREFILL, "vm-1", 40, 4)).block();
 		Assertions.assertThat(r).isEqualTo(expected);
@@ -51,9 +51,10 @@
 					+ "\"fencing_token\":40,\"expected\":4}");
 	}
 
-	// The worker is gone. Whoever gives the order must hear that nothing is known of it.
+	// The worker is down. The sender must get an error that leaves the result of the call
+	// open.
 	@Test
-	void failsWithoutAnAnswer() {
+	void failsWithoutResponse() {
 		this.worker.stop();
 		Assertions.assertThatThrownBy(() -> this.port.report(info()).block())
 			.hasCauseInstanceOf(EngineLostException.class);
--- a/src/test/java/io/shallotspur/platform/PlatformPathTests.java
+++ b/src/test/java/io/shallotspur/platform/PlatformEndToEndTests.java
@@ -24,22 +24,22 @@
 import io.shallotspur.registry.ChangeBounds;
 
 /**
- * The whole path on the platform over real sockets: store, workers and callers are
- * doubles.
+ * End-to-end tests of an entry VM over real sockets, with a fake store, fake workers and
+ * an HTTP client as caller.
  */
-class PlatformPathTests {
+class PlatformEndToEndTests {
 
-	private static final Duration LIMIT = Duration.ofSeconds(20);
+	private static final Duration TIMEOUT = Duration.ofSeconds(20);
 
 	private final FakeStore store = new FakeStore();
 
-	private final WorkerDouble p1 = new WorkerDouble("p1", "");
+	private final FakeWorker p1 = new FakeWorker("p1", "");
 
-	private final WorkerDouble p2 = new WorkerDouble("p2", "");
+	private final FakeWorker p2 = new FakeWorker("p2", "");
 
-	private final WorkerDouble d1 = new WorkerDouble("d1", "decode");
+	private final FakeWorker d1 = new FakeWorker("d1", "decode");
 
-	private final WorkerDouble f1 = new WorkerDouble("f1", "prefill");
+	private final FakeWorker f1 = new FakeWorker("f1", "prefill");
 
 	private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
@@ -72,7 +72,7 @@
 		Endpoint any = new Endpoint("127.0.0.1", 0);
 		return new PlatformSettings(new GatewaySettings("vm-1", "hall-a", 0.2, 50, 10_000), "region-1", 1, any, any,
 				any, any, store, 2_000, 8_000, new ChangeBounds(2_000, 2_000),
-				new PlatformSettings.OrderSettings(true, 0), new PlatformSettings.LogVolume("info", 10));
+				new PlatformSettings.OrderSettings(true, 0), new PlatformSettings.LogSettings("info", 10));
 	}
 
 	private static String config(long version) {
@@ -102,14 +102,15 @@
 
 	private HttpRequest.Builder request(String path) {
 		return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + this.vm.callersPort() + path))
-			.timeout(LIMIT)
+			.timeout(TIMEOUT)
 			.header("X-Request-Id", "r1")
 			.header("X-Deadline-Ms", "5000");
 	}
 
 	private HttpResponse<String> send(HttpRequest r) {
 		try {
-			// The client cannot name another host; the caller's port does not matter.
+			// The client cannot set another Host header; the port in it is not
+			// significant.
 			return this.client.send(r, HttpResponse.BodyHandlers.ofString());
 		}
 		catch (IOException | InterruptedException ex) {
@@ -122,7 +123,7 @@
 	}
 
 	private static void await(BooleanSupplier done) {
-		long end = System.nanoTime() + LIMIT.toNanos();
+		long end = System.nanoTime() + TIMEOUT.toNanos();
 		while (!done.getAsBoolean() && System.nanoTime() < end) {
 			Thread.onSpinWait();
 		}
@@ -130,98 +131,100 @@
 	}
 
 	@Test
-	void relaysAPlainCall() {
+	void relaysPlainRequest() {
 		HttpResponse<String> r = send(request("/safe/x?q=1%2F2").build());
 		Assertions.assertThat(r.statusCode()).isEqualTo(200);
 		Assertions.assertThat(r.body()).startsWith("fine from p");
 		Assertions.assertThat(r.headers().firstValue("X-Server-Stamp")).isPresent();
-		WorkerDouble w = this.p1.paths.isEmpty() ? this.p2 : this.p1;
-		Assertions.assertThat(w.paths).containsExactly("GET /safe/x?q=1%2F2 ");
-		Assertions.assertThat(w.seen.get(0).get("X-Expect-Instance")).isEqualTo((w == this.p1) ? "p1" : "p2");
+		FakeWorker w = this.p1.receivedRequests.isEmpty() ? this.p2 : this.p1;
+		Assertions.assertThat(w.receivedRequests).containsExactly("GET /safe/x?q=1%2F2 ");
+		Assertions.assertThat(w.receivedHeaders.get(0).get("X-Expect-Instance"))
+			.isEqualTo((w == this.p1) ? "p1" : "p2");
 	}
 
-	// A caller sets fields that only the system may set, and could take another's memory.
+	// A caller sets headers that only the system may set. With them it could use another
+	// request's KV cache.
 	@Test
-	void dropsFieldsThatOnlyTheSystemMaySet() {
+	void dropsHeadersReservedForTheSystem() {
 		send(request("/safe/x").header("X-Hold", "h").header("X-Kv-Source", "s").header("X-Other", "kept").build());
-		WorkerDouble w = this.p1.paths.isEmpty() ? this.p2 : this.p1;
-		Assertions.assertThat(w.seen.get(0).contains("X-Hold")).isFalse();
-		Assertions.assertThat(w.seen.get(0).contains("X-Kv-Source")).isFalse();
-		Assertions.assertThat(w.seen.get(0).get("X-Other")).isEqualTo("kept");
+		FakeWorker w = this.p1.receivedRequests.isEmpty() ? this.p2 : this.p1;
+		Assertions.assertThat(w.receivedHeaders.get(0).contains("X-Hold")).isFalse();
+		Assertions.assertThat(w.receivedHeaders.get(0).contains("X-Kv-Source")).isFalse();
+		Assertions.assertThat(w.receivedHeaders.get(0).get("X-Other")).isEqualTo("kept");
 	}
 
 	@Test
-	void relaysAStreamWithItsPromptPrefilledApart() {
+	void relaysStreamWithSeparatePrefill() {
 		HttpResponse<String> r = send(request("/model/x").header("X-Token-Count", "3000,100")
 			.header("X-Prompt-Prefix", "a:200,b:2800")
 			.header("X-Model", "m")
 			.POST(HttpRequest.BodyPublishers.ofString("prompt"))
 			.build());
 		Assertions.assertThat(r.body()).isEqualTo("id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
-		Assertions.assertThat(this.f1.paths).containsExactly("POST /model/x prompt");
-		Assertions.assertThat(this.d1.seen.get(0).get("X-Kv-Source")).endsWith("/kv1");
-		Assertions.assertThat(this.d1.seen.get(0).get("X-Hold")).isEqualTo("h1");
+		Assertions.assertThat(this.f1.receivedRequests).containsExactly("POST /model/x prompt");
+		Assertions.assertThat(this.d1.receivedHeaders.get(0).get("X-Kv-Source")).endsWith("/kv1");
+		Assertions.assertThat(this.d1.receivedHeaders.get(0).get("X-Hold")).isEqualTo("h1");
 	}
 
-	// A stream breaks off in the middle of an event. The caller's client must see that
-	// the answer is not whole.
+	// A stream ends in the middle of an event. The caller's client must be able to detect
+	// that the response is incomplete.
 	@Test
-	void aTornStreamDoesNotLookComplete() {
-		this.d1.next.add(WorkerDouble::tornStream);
+	void truncatedStreamDoesNotLookComplete() {
+		this.d1.nextBehaviours.add(FakeWorker::truncatedStream);
 		HttpRequest q = request("/model/x").POST(HttpRequest.BodyPublishers.ofString("p")).build();
 		Assertions.assertThatThrownBy(() -> send(q)).hasRootCauseInstanceOf(IOException.class);
 	}
 
 	@Test
-	void anAnswerThatIsCutIsNotPassedOn() {
-		this.p1.next.add(WorkerDouble::cut);
-		this.p2.next.add(WorkerDouble::cut);
+	void truncatedResponseIsNotRelayed() {
+		this.p1.nextBehaviours.add(FakeWorker::truncatedBody);
+		this.p2.nextBehaviours.add(FakeWorker::truncatedBody);
 		HttpResponse<String> r = send(request("/safe/x").build());
 		Assertions.assertThat(r.statusCode()).isEqualTo(502);
 		Assertions.assertThat(send(request("/safe/x").build()).body()).startsWith("fine");
 	}
 
 	@Test
-	void aResetAfterTheSendIsNeverCalledNotRun() {
-		this.p1.next.add(WorkerDouble::reset);
-		this.p2.next.add(WorkerDouble::reset);
+	void resetAfterSendIsNotReportedAsNotExecuted() {
+		this.p1.nextBehaviours.add(FakeWorker::closeWithoutResponse);
+		this.p2.nextBehaviours.add(FakeWorker::closeWithoutResponse);
 		Assertions.assertThat(send(request("/unsafe/x").build()).statusCode()).isEqualTo(502);
-		Assertions.assertThat(this.p1.paths.size() + this.p2.paths.size()).isEqualTo(1);
+		Assertions.assertThat(this.p1.receivedRequests.size() + this.p2.receivedRequests.size()).isEqualTo(1);
 	}
 
 	@Test
-	void anAnswerToAnotherRequestIsNotPassedOn() {
-		this.p1.next.add(WorkerDouble::foreign);
-		this.p2.next.add(WorkerDouble::foreign);
+	void responseToOtherRequestIsNotRelayed() {
+		this.p1.nextBehaviours.add(FakeWorker::responseToOtherRequest);
+		this.p2.nextBehaviours.add(FakeWorker::responseToOtherRequest);
 		HttpResponse<String> r = send(request("/unsafe/x").build());
 		Assertions.assertThat(r.statusCode()).isEqualTo(502);
 		Assertions.assertThat(r.headers().firstValue("X-Server-Stamp")).isEmpty();
 	}
 
 	@Test
-	void aFullWorkersRefusalIsTruthfullyNotRun() {
-		this.p1.next.add(WorkerDouble::full);
-		this.p2.next.add(WorkerDouble::full);
+	void refusalByFullWorkersIsRelayedAsUnavailable() {
+		this.p1.nextBehaviours.add(FakeWorker::refuseAsFull);
+		this.p2.nextBehaviours.add(FakeWorker::refuseAsFull);
 		HttpResponse<String> r = send(request("/unsafe/x").build());
 		Assertions.assertThat(r.statusCode()).isEqualTo(503);
 		Assertions.assertThat(r.headers().firstValue("Retry-After")).isPresent();
 	}
 
-	// The caller hangs up while a worker is silent. Unless the worker hears so, it goes
-	// on with work that nobody waits for.
+	// The caller disconnects while waiting for a worker. Unless the worker's connection
+	// is closed too, it continues work that nobody waits for.
 	@Test
-	void hangsUpOnTheWorkerWhenTheCallerHangsUp() {
-		this.p1.next.add(this.p1::silent);
-		this.p2.next.add(this.p2::silent);
+	void closesWorkerConnectionWhenCallerDisconnects() {
+		this.p1.nextBehaviours.add(this.p1::noResponse);
+		this.p2.nextBehaviours.add(this.p2::noResponse);
 		CompletableFuture<?> c = this.client.sendAsync(request("/safe/x").build(),
 				HttpResponse.BodyHandlers.ofString());
-		await(() -> this.p1.paths.size() + this.p2.paths.size() == 1);
+		await(() -> this.p1.receivedRequests.size() + this.p2.receivedRequests.size() == 1);
 		c.cancel(true);
-		await(() -> this.p1.cancelled.get() + this.p2.cancelled.get() == 1);
+		await(() -> this.p1.closedConnections.get() + this.p2.closedConnections.get() == 1);
 	}
 
 	@Test
-	void refusesWhatBreaksTheLimits() {
+	void refusesRequestsOverTheLimits() {
 		String big = "x".repeat(2_000);
 		Assertions
 			.assertThat(send(request("/safe/x").POST(HttpRequest.BodyPublishers.ofString(big)).build()).statusCode())
@@ -234,7 +237,7 @@
 	}
 
 	@Test
-	void tellsCallersWhereToConnect() {
+	void returnsEntryVmAddresses() {
 		HttpResponse<String> r = send(HttpRequest
 			.newBuilder(URI
 				.create("http://127.0.0.1:" + this.vm.locatePort() + "/api/resolution?name=shop.example&zone=hall-a"))
@@ -242,23 +245,23 @@
 		Assertions.assertThat(r.body()).contains("\"addresses\":[\"127.0.0.1:").contains("\"ttl_s\":2.0");
 	}
 
-	// Guards against a limit that is read but not kept to: workers that take nothing at
-	// all get no second request, and the caller hears so at once.
+	// Guards against a rate limit that is decoded but not enforced: workers with a limit
+	// of 0 get no second request, and the caller is refused at once.
 	@Test
-	void keepsToTheLimitsThatWorkersName() {
-		this.p1.limit = "0.0";
-		this.p2.limit = "0.0";
+	void enforcesRateLimitsOfWorkers() {
+		this.p1.rateLimit = "0.0";
+		this.p2.rateLimit = "0.0";
 		send(request("/safe/x").build());
 		send(request("/safe/x").build());
 		HttpResponse<String> r = send(request("/safe/x").build());
 		Assertions.assertThat(r.statusCode()).isEqualTo(503);
 		Assertions.assertThat(r.headers().firstValue("Retry-After")).isPresent();
-		Assertions.assertThat(this.p1.paths).hasSize(1);
-		Assertions.assertThat(this.p2.paths).hasSize(1);
+		Assertions.assertThat(this.p1.receivedRequests).hasSize(1);
+		Assertions.assertThat(this.p2.receivedRequests).hasSize(1);
 	}
 
 	@Test
-	void servesItsMetrics() {
+	void servesMetrics() {
 		send(request("/safe/x").build());
 		HttpResponse<String> r = send(
 				HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + this.vm.metricsPort() + "/metrics")).build());
@@ -266,29 +269,29 @@
 	}
 
 	@Test
-	void takesAChangeOfTheConfiguration() {
+	void appliesConfigurationChange() {
 		this.store.put("op/config", config(9).replace("/safe/", "/moved/"));
 		await(() -> send(request("/moved/x").build()).statusCode() == 200);
 		Assertions.assertThat(send(request("/safe/x").build()).statusCode()).isEqualTo(404);
 	}
 
-	// The worker must learn whose request it is, and must never see the key: it could use
-	// it in the customer's name.
+	// The worker must be told the customer of a request but never the API key, with which
+	// it could act in the customer's name.
 	@Test
-	void tellsTheWorkerTheCustomerAndNotTheKey() {
+	void sendsCustomerButNotKeyToWorker() {
 		this.store.put("op/config", withCustomer(config(9), "k9m68k"));
 		HttpRequest q = request("/safe/x").header("Authorization", "Bearer k9m68k").header("X-Tenant", "bolt").build();
 		await(() -> send(request("/safe/x").build()).statusCode() == 401);
-		this.p1.seen.clear();
-		this.p2.seen.clear();
+		this.p1.receivedHeaders.clear();
+		this.p2.receivedHeaders.clear();
 		Assertions.assertThat(send(q).statusCode()).isEqualTo(200);
-		HttpHeaders h = (this.p1.seen.isEmpty() ? this.p2 : this.p1).seen.get(0);
+		HttpHeaders h = (this.p1.receivedHeaders.isEmpty() ? this.p2 : this.p1).receivedHeaders.get(0);
 		Assertions.assertThat(h.getAll("X-Tenant")).containsExactly("acme");
 		Assertions.assertThat(h.contains("Authorization")).isFalse();
 	}
 
 	@Test
-	void aKeyThatNoCustomerHasIsDenied() {
+	void unknownOrDuplicateKeyIsUnauthorized() {
 		this.store.put("op/config", withCustomer(config(9), "k9m68k"));
 		await(() -> send(request("/safe/x").build()).statusCode() == 401);
 		Assertions.assertThat(send(request("/safe/x").header("Authorization", "Bearer other").build()).statusCode())
@@ -300,20 +303,21 @@
 			.isEqualTo(401);
 	}
 
-	// The operator's entry is not what it should be. What was in force must stay so.
+	// The configuration entry is malformed. The last valid configuration must stay in
+	// effect.
 	@Test
-	void leavesAnUnreadableConfigurationAside() {
+	void ignoresMalformedConfiguration() {
 		this.store.put("op/config", "{\"version\":\"x\"}");
 		this.store.put("servers/p1", this.p1.entry("plain", "draining"));
 		await(() -> {
 			send(request("/safe/x").build());
-			return !this.p2.paths.isEmpty();
+			return !this.p2.receivedRequests.isEmpty();
 		});
 		Assertions.assertThat(send(request("/safe/x").build()).statusCode()).isEqualTo(200);
 	}
 
 	@Test
-	void goesOnWhileTheStoreIsAwayAndCatchesUp() {
+	void servesWhileStoreIsUnavailableAndCatchesUp() {
 		this.store.setUnavailable(true);
 		Assertions.assertThat(send(request("/safe/x").build()).statusCode()).isEqualTo(200);
 		this.store.put("op/config", config(9).replace("/safe/", "/moved/"));
@@ -323,15 +327,15 @@
 	}
 
 	@Test
-	void readsAListingInPages() {
-		this.store.pageSize(2);
+	void readsListingInPages() {
+		this.store.setPageSize(2);
 		this.store.dropHistory();
 		this.store.put("op/config", config(9).replace("/safe/", "/moved/"));
 		await(() -> send(request("/moved/x").build()).statusCode() == 200);
 	}
 
 	@Test
-	void anAnswerThatIsNotJsonCountsAsNone() {
+	void nonJsonResponseOfStoreIsAFailure() {
 		this.store.setMalformedResponses(true);
 		this.store.put("op/config", config(9).replace("/safe/", "/moved/"));
 		Assertions.assertThat(send(request("/safe/x").build()).statusCode()).isEqualTo(200);
@@ -339,16 +343,16 @@
 		await(() -> send(request("/moved/x").build()).statusCode() == 200);
 	}
 
-	// The VM is told to leave while a stream runs. It must leave the answers to callers
-	// at once and finish what it has begun.
+	// The VM is drained while a request runs. It must deregister at once and finish the
+	// request.
 	@Test
-	void finishesWhatIsInProgressBeforeItLeaves() {
+	void drainFinishesRequestsInProgress() {
 		await(() -> this.store.hasKeyWithPrefix("vms/"));
-		this.p1.next.add(this.p1::silent);
-		this.p2.next.add(this.p2::silent);
+		this.p1.nextBehaviours.add(this.p1::noResponse);
+		this.p2.nextBehaviours.add(this.p2::noResponse);
 		CompletableFuture<HttpResponse<String>> c = this.client.sendAsync(request("/safe/x").build(),
 				HttpResponse.BodyHandlers.ofString());
-		await(() -> this.p1.paths.size() + this.p2.paths.size() == 1);
+		await(() -> this.p1.receivedRequests.size() + this.p2.receivedRequests.size() == 1);
 		Thread t = new Thread(this.vm::drain);
 		t.start();
 		await(() -> !this.store.hasKeyWithPrefix("vms/"));
@@ -357,47 +361,50 @@
 		Assertions.assertThat(c.join().headers().firstValue("Connection")).hasValue("close");
 	}
 
-	// A VM that has left is closed once more by whoever started it. Its event loop has
-	// ended by then, and what is handed to it is rejected.
+	// A drained VM is closed again by the code that started it. Its event loop has
+	// terminated by then and rejects new tasks.
 	@Test
-	void closingTwiceIsClosingOnce() {
+	void closeIsIdempotent() {
 		this.vm.close();
 		Assertions.assertThatCode(this.vm::close).doesNotThrowAnyException();
 	}
 
-	// A stream keeps a VM that was told to leave alive to the end of its grace, and
-	// callers with an old address go on coming. Were the door closed early, they would
-	// find nobody and lose the one try they have left; were they let in to the last
-	// moment, the process would end under a renewal whose outcome nobody knows.
+	// A stream keeps a draining VM running to the end of its grace period, and callers
+	// with a cached address still connect. If the listening socket closed early, they
+	// would be refused and lose their only remaining attempt. If requests were accepted
+	// until the exit, the process could end during a request whose outcome would then be
+	// unknown.
 	@Test
-	void answersWhoeverComesUntilItsLastMoment() {
-		this.d1.next.add(this.d1::silent);
+	void drainAcceptsRequestsUntilShortlyBeforeExit() {
+		this.d1.nextBehaviours.add(this.d1::noResponse);
 		HttpRequest q = request("/model/x").setHeader("X-Deadline-Ms", "20000")
 			.POST(HttpRequest.BodyPublishers.ofString("p"))
 			.build();
 		CompletableFuture<HttpResponse<String>> c = this.client.sendAsync(q, HttpResponse.BodyHandlers.ofString());
-		await(() -> this.d1.paths.size() == 1);
+		await(() -> this.d1.receivedRequests.size() == 1);
 		Thread t = new Thread(this.vm::drain);
 		t.start();
 		await(() -> !this.store.hasKeyWithPrefix("vms/"));
-		List<Integer> told = new ArrayList<>();
+		List<Integer> statuses = new ArrayList<>();
 		boolean open = true;
 		while (open) {
-			Optional<Integer> status = call();
-			status.ifPresent(told::add);
+			Optional<Integer> status = tryCall();
+			status.ifPresent(statuses::add);
 			open = status.isPresent();
 		}
-		Assertions.assertThat(connects(this.vm.callersPort())).isFalse();
+		Assertions.assertThat(acceptsConnections(this.vm.callersPort())).isFalse();
 		Assertions.assertThat(c.isDone()).isFalse();
-		Assertions.assertThat(told).contains(200).containsOnly(200, 503);
-		Assertions.assertThat(told.lastIndexOf(200)).isLessThan(told.indexOf(503));
-		long ran = told.stream().filter((s) -> s == 200).count();
-		Assertions.assertThat(this.p1.paths.size() + this.p2.paths.size()).isEqualTo((int) ran);
+		Assertions.assertThat(statuses).contains(200).containsOnly(200, 503);
+		Assertions.assertThat(statuses.lastIndexOf(200)).isLessThan(statuses.indexOf(503));
+		long successes = statuses.stream().filter((s) -> s == 200).count();
+		Assertions.assertThat(this.p1.receivedRequests.size() + this.p2.receivedRequests.size())
+			.isEqualTo((int) successes);
 	}
 
-	// Empty if the door was closed before the call was read. That nothing ran is counted
-	// in the end, and that nobody is let in after it.
-	private Optional<Integer> call() {
+	// Empty if the listening socket was closed before the request was read. The test
+	// checks at the end that no such request ran and that no connection is accepted
+	// afterwards.
+	private Optional<Integer> tryCall() {
 		HttpRequest q = request("/unsafe/x").setHeader("X-Deadline-Ms", "1500")
 			.POST(HttpRequest.BodyPublishers.ofString("p"))
 			.build();
@@ -412,7 +419,7 @@
 		}
 	}
 
-	private static boolean connects(int port) {
+	private static boolean acceptsConnections(int port) {
 		try (Socket s = new Socket("127.0.0.1", port)) {
 			return s.isConnected();
 		}
@@ -421,33 +428,33 @@
 		}
 	}
 
-	// The store comes back from a copy that is older than the leaving of a worker. A VM
-	// that took the copy for the present would send requests to a worker that exits,
-	// would not be found by callers, and would hear of no change until the store's
-	// revisions have passed those of before.
+	// The store is restored from a snapshot taken before a worker began to drain. A VM
+	// that took the snapshot as current would send requests to a worker that is exiting,
+	// would be missing from address lookups, and would see no changes until the store's
+	// revisions exceed the earlier ones.
 	@Test
-	void goesOnWhenTheStoreComesBackFromAnOlderCopy() {
+	void survivesStoreRestoreFromOlderSnapshot() {
 		this.store.put("servers/p1", this.p1.entry("plain", "draining"));
 		for (int i = 0; i < 20; i++) {
 			this.store.put("op/other", "{}");
 		}
-		await(() -> onlyP2(20));
+		await(() -> allServedByP2(20));
 		this.store.restoreSnapshot();
 		Assertions.assertThat(this.store.hasKeyWithPrefix("vms/")).isFalse();
 		await(() -> this.store.hasKeyWithPrefix("vms/"));
-		Assertions.assertThat(onlyP2(20)).isTrue();
+		Assertions.assertThat(allServedByP2(20)).isTrue();
 		this.store.put("servers/p1", this.p1.entry("plain", "draining"));
 		this.store.put("op/config", config(9).replace("/safe/", "/new/"));
 		await(() -> send(request("/new/x").build()).statusCode() == 200);
-		Assertions.assertThat(onlyP2(20)).isTrue();
+		Assertions.assertThat(allServedByP2(20)).isTrue();
 	}
 
-	private boolean onlyP2(int requests) {
-		int before = this.p1.paths.size();
+	private boolean allServedByP2(int requests) {
+		int before = this.p1.receivedRequests.size();
 		for (int i = 0; i < requests; i++) {
 			send(request("/unsafe/x").build());
 		}
-		return this.p1.paths.size() == before;
+		return this.p1.receivedRequests.size() == before;
 	}
 
 }
--- a/src/test/java/io/shallotspur/platform/AnswerDecoderTests.java
+++ b/src/test/java/io/shallotspur/platform/ResponseHeadDecoderTests.java
@@ -11,20 +11,20 @@
 import io.shallotspur.gateway.WorkerLimit;
 
 /**
- * Tests of what the head of an answer tells of its worker.
+ * Tests of {@link ResponseHeadDecoder}, in particular of the rate limit of a worker.
  */
-class AnswerDecoderTests {
+class ResponseHeadDecoderTests {
 
 	private static HttpHeaders signed() {
 		return new DefaultHttpHeaders().add("X-Request-Id", "r1").add("X-Server-Stamp", "3e1b.07");
 	}
 
 	private static AnswerHead head(int status, HttpHeaders h) {
-		return AnswerDecoder.head("r1", status, h);
+		return ResponseHeadDecoder.head("r1", status, h);
 	}
 
 	@Test
-	void readsTheLimitThatAWorkerNames() {
+	void decodesTheReportedLimit() {
 		Assertions.assertThat(head(200, signed().add("Server-Limit", "3.9")).news().limit())
 			.isEqualTo(new WorkerLimit(3.9));
 		Assertions.assertThat(head(500, signed().add("Server-Limit", "0")).news().limit())
@@ -32,24 +32,25 @@
 	}
 
 	@Test
-	void aSuccessWithoutALimitEndsIt() {
+	void successWithoutLimitEndsTheLimit() {
 		Assertions.assertThat(head(200, signed()).news().limit()).isEqualTo(WorkerLimit.NONE);
 	}
 
-	// A worker in need refuses, and fails, without all of its usual fields; taken for the
-	// end of its limit, each failure would bring on more of what it fails at.
+	// An overloaded worker sends refusals and failures without all of its usual headers.
+	// If they ended its limit, each failure would bring it more load.
 	@Test
-	void aRefusalOrFailureWithoutALimitDoesNotEndIt() {
+	void refusalOrFailureWithoutLimitKeepsTheLimit() {
 		Assertions.assertThat(head(500, signed()).news().limit()).isNull();
 		HttpHeaders h = new DefaultHttpHeaders().add("X-Request-Id", "r1").add("X-Not-Executed", "1");
 		Assertions.assertThat(head(503, h).news().limit()).isNull();
 		Assertions.assertThat(head(503, h.add("Server-Limit", "2.5")).news().limit()).isEqualTo(new WorkerLimit(2.5));
 	}
 
-	// The answer of another worker at the address, or to an earlier request, would put a
-	// limit on a worker that names none, or end one that still holds.
+	// A response from another worker at the address, or to an earlier request, must
+	// neither set a limit for a worker that reports none nor end a limit that still
+	// applies.
 	@Test
-	void anAnswerOfAnotherWorkerOrRequestTellsNothing() {
+	void responseFromOtherWorkerOrRequestIsIgnored() {
 		Assertions.assertThat(head(421, signed().add("Server-Limit", "2.5")).news().limit()).isNull();
 		HttpHeaders late = new DefaultHttpHeaders().add("X-Request-Id", "r0").add("Server-Limit", "2.5");
 		Assertions.assertThat(head(200, late).news().limit()).isNull();
@@ -57,7 +58,7 @@
 
 	@ParameterizedTest
 	@ValueSource(strings = { "", "many", "-1", "NaN", "Infinity" })
-	void whatIsNoRateTellsNothing(String value) {
+	void invalidRateIsIgnored(String value) {
 		Assertions.assertThat(head(200, signed().add("Server-Limit", value)).news().limit()).isNull();
 	}
 
--- a/src/test/java/io/shallotspur/platform/EntryDecoderTests.java
+++ b/src/test/java/io/shallotspur/platform/StoreEntryCodecTests.java
@@ -21,23 +21,24 @@
 import io.shallotspur.registry.RegistryChange;
 
 /**
- * Tests of {@link EntryDecoder} with entries of other writers. Taken for a worker, such
- * an entry would get a part of all requests, and each of them would fail.
+ * Tests of {@link StoreEntryCodec} with malformed entries from other writers. If such an
+ * entry were accepted as a worker, it would receive a share of all requests, and each of
+ * them would fail.
  */
-class EntryDecoderTests {
+class StoreEntryCodecTests {
 
 	private static final long ERA = 2;
 
-	private static final String GOOD = """
+	private static final String VALID_WORKER = """
 			{"service":"up","address":"10.0.0.9:8080","zone":"hall-a","version":"v1","slots":16,"state":"ready",
 			"cold_remaining_ms":0,"stage":"decode","models":[{"name":"m","version":1,"adapters":[]}],
 			"sequence_number":4,"born":1700000000000}""";
 
-	private static final List<String> NEEDED = List.of("service", "address", "zone", "version", "slots", "state",
-			"cold_remaining_ms", "sequence_number");
+	private static final List<String> REQUIRED_FIELDS = List.of("service", "address", "zone", "version", "slots",
+			"state", "cold_remaining_ms", "sequence_number");
 
 	private static ObjectNode item(String key, byte[] value) {
-		return EntryDecoder.JSON.createObjectNode()
+		return StoreEntryCodec.JSON.createObjectNode()
 			.put("key", key)
 			.put("revision", 7)
 			.put("value", Base64.getEncoder().encodeToString(value));
@@ -47,13 +48,13 @@
 		return item(key, value.getBytes(StandardCharsets.UTF_8));
 	}
 
-	private static Optional<RegistryChange> worker(String value) {
-		return EntryDecoder.decode(item("servers/i-1", value), ERA);
+	private static Optional<RegistryChange> decodeWorker(String value) {
+		return StoreEntryCodec.decode(item("servers/i-1", value), ERA);
 	}
 
-	private static ObjectNode good() {
+	private static ObjectNode validWorker() {
 		try {
-			return (ObjectNode) EntryDecoder.JSON.readTree(GOOD);
+			return (ObjectNode) StoreEntryCodec.JSON.readTree(VALID_WORKER);
 		}
 		catch (java.io.IOException ex) {
 			throw new IllegalStateException(ex);
@@ -61,26 +62,26 @@
 	}
 
 	@Test
-	void readsAWorker() {
-		RegistryChange.WorkerSeen w = (RegistryChange.WorkerSeen) worker(GOOD).orElseThrow();
+	void decodesWorker() {
+		RegistryChange.WorkerSeen w = (RegistryChange.WorkerSeen) decodeWorker(VALID_WORKER).orElseThrow();
 		Assertions.assertThat(w.worker().stage()).isEqualTo(WorkerStage.DECODE);
 		Assertions.assertThat(w.worker().startedAt()).isEqualTo(1_700_000_000_000L);
 		Assertions.assertThat(w.worker().slots()).isEqualTo(16);
 	}
 
 	@Test
-	void readsAPlainWorkerWithoutStageAndStart() {
-		ObjectNode n = good();
+	void decodesPlainWorkerWithoutStageAndStartTime() {
+		ObjectNode n = validWorker();
 		n.remove(List.of("stage", "born"));
-		RegistryChange.WorkerSeen w = (RegistryChange.WorkerSeen) worker(n.toString()).orElseThrow();
+		RegistryChange.WorkerSeen w = (RegistryChange.WorkerSeen) decodeWorker(n.toString()).orElseThrow();
 		Assertions.assertThat(w.worker().stage()).isEqualTo(WorkerStage.PLAIN);
 		Assertions.assertThat(w.worker().startedAt()).isZero();
 	}
 
 	@ParameterizedTest
 	@ValueSource(strings = { "", "[]", "7", "null", "{", "{}", "\"ready\"" })
-	void noWorkerFromWhatIsNoEntry(String value) {
-		Assertions.assertThat(worker(value).orElseThrow())
+	void rejectsWorkerThatIsNoObjectWithFields(String value) {
+		Assertions.assertThat(decodeWorker(value).orElseThrow())
 			.isInstanceOfSatisfying(RegistryChange.Unreadable.class,
 					(u) -> Assertions.assertThat(u.worker()).isEqualTo("i-1"));
 	}
@@ -88,49 +89,52 @@
 	@ParameterizedTest
 	@ValueSource(strings = { "state:resting", "stage:both", "stage:", "address:10.0.0.9", "address:10.0.0.9:0",
 			"address:10.0.0.9:99999", "service:", "zone: " })
-	void noWorkerFromWordsThatAreNotKnown(String change) {
+	void rejectsWorkerWithInvalidValues(String change) {
 		int i = change.indexOf(':');
-		ObjectNode n = good().put(change.substring(0, i), change.substring(i + 1));
-		Assertions.assertThat(worker(n.toString()).orElseThrow()).isInstanceOf(RegistryChange.Unreadable.class);
+		ObjectNode n = validWorker().put(change.substring(0, i), change.substring(i + 1));
+		Assertions.assertThat(decodeWorker(n.toString()).orElseThrow()).isInstanceOf(RegistryChange.Unreadable.class);
 	}
 
 	@Test
-	void noWorkerFromBytesThatAreNoText() {
+	void rejectsWorkerThatIsNotTextOrBase64() {
 		ObjectNode n = item("servers/i-1", new byte[] { (byte) 0xff, 0, 3 });
-		Assertions.assertThat(EntryDecoder.decode(n, ERA).orElseThrow()).isInstanceOf(RegistryChange.Unreadable.class);
+		Assertions.assertThat(StoreEntryCodec.decode(n, ERA).orElseThrow())
+			.isInstanceOf(RegistryChange.Unreadable.class);
 		n.put("value", "*** no base64 ***");
-		Assertions.assertThat(EntryDecoder.decode(n, ERA).orElseThrow()).isInstanceOf(RegistryChange.Unreadable.class);
+		Assertions.assertThat(StoreEntryCodec.decode(n, ERA).orElseThrow())
+			.isInstanceOf(RegistryChange.Unreadable.class);
 	}
 
-	// Other writers also leave what they like under the keys of VMs, duties and figures.
+	// Other writers may also write malformed values under the keys of VMs, the stage
+	// leader and statistics.
 	@ParameterizedTest
 	@ValueSource(strings = { "vms/a", "duties/stages", "stages/w", "figures/up", "op/config", "eras/settled" })
-	void noNewsFromOtherEntriesThatCannotBeRead(String key) {
+	void rejectsMalformedEntriesOfOtherKinds(String key) {
 		for (String value : List.of("{}", "[]", "7", "{", "{\"address\":7,\"vm\":[],\"stage\":\"x\"}")) {
-			Assertions.assertThat(EntryDecoder.decode(item(key, value), ERA).orElseThrow())
+			Assertions.assertThat(StoreEntryCodec.decode(item(key, value), ERA).orElseThrow())
 				.isInstanceOfSatisfying(RegistryChange.Unreadable.class,
 						(u) -> Assertions.assertThat(u.worker()).isNull());
 		}
 	}
 
-	// One field is taken away, has another type, is negative or huge, or the entry is cut
-	// off: nothing is thrown, no worker comes of a bad entry, and a good one beside it
-	// stays usable.
+	// A field is removed, has the wrong type, is negative or huge, or the entry is
+	// truncated. The decoder must not throw or register a worker, and must still decode
+	// the next entry.
 	@Property(tries = 10_000, seed = "17")
-	void noWorkerFromASpoiltEntry(@ForAll long seed) {
+	void rejectsCorruptedWorker(@ForAll long seed) {
 		Random r = new Random(seed);
-		ObjectNode n = good();
-		String field = NEEDED.get(r.nextInt(NEEDED.size()));
-		String bad = spoil(n, field, r);
+		ObjectNode n = validWorker();
+		String field = REQUIRED_FIELDS.get(r.nextInt(REQUIRED_FIELDS.size()));
+		String corrupted = corrupt(n, field, r);
 		List<RegistryChange> l = new ArrayList<>();
-		for (JsonNode i : List.of(item("servers/i-1", bad), item("servers/i-2", GOOD))) {
-			EntryDecoder.decode(i, ERA).ifPresent(l::add);
+		for (JsonNode i : List.of(item("servers/i-1", corrupted), item("servers/i-2", VALID_WORKER))) {
+			StoreEntryCodec.decode(i, ERA).ifPresent(l::add);
 		}
 		Assertions.assertThat(l.get(0)).isInstanceOf(RegistryChange.Unreadable.class);
 		Assertions.assertThat(l.get(1)).isInstanceOf(RegistryChange.WorkerSeen.class);
 	}
 
-	private static String spoil(ObjectNode n, String field, Random r) {
+	private static String corrupt(ObjectNode n, String field, Random r) {
 		boolean number = n.path(field).isNumber();
 		JsonNodeFactory f = JsonNodeFactory.instance;
 		switch (r.nextInt(7)) {
--- a/src/test/java/io/shallotspur/platform/StoreRegistryTests.java
+++ b/src/test/java/io/shallotspur/platform/StoreRegistryTests.java
@@ -18,8 +18,8 @@
 import io.shallotspur.registry.StorePoint;
 
 /**
- * Tests of the duty and of announcements in {@link StoreRegistry}, against a stand-in for
- * the store.
+ * Tests of {@link StoreRegistry} against a fake store: the stage leader, stage changes,
+ * statistics and restores.
  */
 class StoreRegistryTests {
 
@@ -27,7 +27,7 @@
 
 	private final FakeStore store = new FakeStore();
 
-	private final Loop loop = new Loop();
+	private final VmEventLoop loop = new VmEventLoop();
 
 	private final StoreRegistry registry = new StoreRegistry(this.store.address(), this.loop);
 
@@ -41,10 +41,10 @@
 		return this.registry.duty().block().orElseThrow().since();
 	}
 
-	// Two VMs ask for the duty in the same moment. Were it given to both, they would undo
-	// each other's orders.
+	// Two VMs claim the stage leader role at the same time. If both got it, they would
+	// revert each other's orders.
 	@Test
-	void givesTheDutyToOne() {
+	void onlyOneVmBecomesStageLeader() {
 		Assertions.assertThat(this.registry.duty().block()).isEmpty();
 		Assertions.assertThat(this.registry.claim("vms/a", LEASE).block()).isTrue();
 		Assertions.assertThat(this.registry.claim("vms/b", LEASE).block()).isFalse();
@@ -52,7 +52,7 @@
 	}
 
 	@Test
-	void announcesOnlyForTheHolder() {
+	void marksWorkersOnlyForTheStageLeader() {
 		this.registry.claim("vms/a", LEASE).block();
 		StorePoint other = new StorePoint(fence().era(), fence().revision() - 1);
 		Assertions.assertThat(this.registry.mark("w1", WorkerStage.DECODE, other, LEASE).block()).isFalse();
@@ -62,13 +62,13 @@
 	}
 
 	@Test
-	void tellsOfDutyAndAnnouncements() {
+	void reportsLeaderAndStageChanges() {
 		RegistryNews before = this.registry.list().block();
 		this.registry.claim("vms/a", LEASE).block();
 		StorePoint fence = fence();
 		this.registry.mark("w1", WorkerStage.PREFILL, fence, LEASE).block();
 		this.registry.unmark("w1").block();
-		this.store.remove(Names.DUTY_KEY);
+		this.store.remove(PlatformNames.STAGE_LEADER_KEY);
 		List<RegistryChange> l = this.registry.changes(before.point(), 0).block().changes();
 		Assertions.assertThat(l)
 			.containsExactly(new RegistryChange.DutyHeld("vms/a", fence),
@@ -76,10 +76,10 @@
 					new RegistryChange.DutyFree());
 	}
 
-	// Two VMs tell of what they saw in the same moment; the second would overwrite what
-	// the first has told.
+	// Two VMs publish statistics at the same time. The second must not overwrite those of
+	// the first.
 	@Test
-	void tellsFiguresOnTopOfThoseThatAreKnown() {
+	void publishesStatisticsOnlyOverTheKnownRevision() {
 		EngineFigures f = new EngineFigures(4, 3_000, 500, 3_800, 0.03, 0.03, 7, LengthModel.BELIEVED);
 		Assertions.assertThat(this.registry.tell("llm", f, StorePoint.NONE).block()).isTrue();
 		Assertions.assertThat(this.registry.tell("llm", f, StorePoint.NONE).block()).isFalse();
@@ -88,18 +88,18 @@
 		Assertions.assertThat(this.registry.tell("llm", f, seen.since()).block()).isTrue();
 	}
 
-	private List<Long> restores() {
+	private List<Long> observedRestores() {
 		List<Long> l = new CopyOnWriteArrayList<>();
 		this.registry.whenRestored(l::add);
 		return l;
 	}
 
 	@Test
-	void tellsThatTheStoreWasRestoredBeforeItsAnswerIsTaken() {
+	void reportsRestoreBeforeResponseIsDelivered() {
 		this.store.put("op/other", "{}");
 		this.store.takeSnapshot();
 		RegistryNews before = this.registry.list().block();
-		List<Long> restores = restores();
+		List<Long> restores = observedRestores();
 		this.store.put("op/other", "{}");
 		this.store.restoreSnapshot();
 		RegistryNews after = this.registry.list().block();
@@ -107,10 +107,10 @@
 		Assertions.assertThat(after.point().compareTo(before.point())).isPositive();
 	}
 
-	// Revisions are given out again. The watch goes on from one that the store has by now
-	// for something else, and what was written before it is never heard.
+	// A restored store assigns the same revisions again. A watch that continued from an
+	// old revision would miss the writes of the new era up to that revision.
 	@Test
-	void aWatchFromAnEarlierEraIsNotGoneOnWith() {
+	void watchFromEarlierEraFails() {
 		this.store.takeSnapshot();
 		this.store.put("op/a", "{}");
 		RegistryNews before = this.registry.list().block();
@@ -121,9 +121,9 @@
 			.hasCauseInstanceOf(StoreHistoryGoneException.class);
 	}
 
-	// The former holder's revision stands for another holder now.
+	// After the restore, another VM holds the role under the same revision.
 	@Test
-	void announcesNothingForAHolderOfAnEarlierEra() {
+	void doesNotMarkWorkersForLeaderOfEarlierEra() {
 		this.store.takeSnapshot();
 		this.registry.claim("vms/a", LEASE).block();
 		StorePoint fence = fence();
@@ -132,29 +132,29 @@
 		Assertions.assertThat(fence().revision()).isEqualTo(fence.revision());
 		Assertions.assertThat(fence().fence()).isGreaterThan(fence.fence());
 		Assertions.assertThat(this.registry.mark("w1", WorkerStage.DECODE, fence, LEASE).block()).isFalse();
-		Assertions.assertThat(this.store.hasKeyWithPrefix(Names.STAGE_PREFIX)).isFalse();
+		Assertions.assertThat(this.store.hasKeyWithPrefix(PlatformNames.STAGE_CHANGE_PREFIX)).isFalse();
 	}
 
-	// A lease was got in one era and its number is another VM's in the next: a
-	// registration under it would last as long as that VM does.
+	// A lease number from one era belongs to another VM in the next. A registration under
+	// it would last as long as that VM renews the lease.
 	@Test
-	void aWriteAcrossARestoreDoesNotCountAsDone() {
+	void writeAcrossRestoreCountsAsFailed() {
 		this.store.takeSnapshot();
 		long lease = this.registry.openLease(3_000).block();
 		this.store.restoreSnapshot();
-		this.store.reuseLease(lease);
+		this.store.reassignLease(lease);
 		EntryVm vm = new EntryVm("vms/a", "10.0.0.1:80", "region-1", "hall-a", 1, false);
 		Assertions.assertThat(this.registry.register(vm, lease).block()).isFalse();
 	}
 
-	// A configuration of another content has the revision of the one that was decoded.
+	// After a restore, a different configuration has the same revision as the cached one.
 	@Test
-	void decodesAConfigurationAnewThatHasTheRevisionOfAnother() {
+	void decodesConfigurationAgainAfterRestoreToSameRevision() {
 		this.store.takeSnapshot();
-		this.store.put(Names.CONFIG_KEY, config(7));
+		this.store.put(PlatformNames.CONFIG_KEY, config(7));
 		Assertions.assertThat(this.registry.configuration().block().version()).isEqualTo(7);
 		this.store.restoreSnapshot();
-		this.store.put(Names.CONFIG_KEY, config(8));
+		this.store.put(PlatformNames.CONFIG_KEY, config(8));
 		Assertions.assertThat(this.registry.configuration().block().version()).isEqualTo(8);
 	}
 
@@ -164,18 +164,18 @@
 				"header_timeout_ms":3000,"idle_timeout_ms":15000}}""".formatted(version);
 	}
 
-	// An answer of before the return comes late, on another connection.
+	// A response from before the restore arrives late on another connection.
 	@Test
-	void dropsAnAnswerOfAnEarlierEra() {
-		this.store.era(5);
+	void dropsResponseFromEarlierEra() {
+		this.store.setEra(5);
 		this.registry.list().block();
-		this.store.era(4);
+		this.store.setEra(4);
 		Assertions.assertThatThrownBy(() -> this.registry.list().block())
 			.hasCauseInstanceOf(StoreUnavailableException.class);
 	}
 
 	@Test
-	void tellsThatAnEraHasSettled() {
+	void publishesSettledEra() {
 		this.registry.list().block();
 		Assertions.assertThat(this.registry.settled(1).block()).isTrue();
 		Assertions.assertThat(this.registry.settled(7).block()).isFalse();
--- a/src/test/java/io/shallotspur/platform/LoopTests.java
+++ b/src/test/java/io/shallotspur/platform/VmEventLoopTests.java
@@ -7,16 +7,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests of {@link Loop}.
+ * Tests of {@link VmEventLoop}.
  */
-class LoopTests {
+class VmEventLoopTests {
 
-	// The gateway's state has no locks. If sockets of callers and workers were served by
-	// different threads, counts would drift apart and a VM would believe its workers
-	// full.
+	// The gateway's state has no locks. If caller and worker sockets were served by
+	// different threads, lost updates would corrupt its counters and a VM would consider
+	// its workers full.
 	@Test
 	void serversClientsAndTimersShareOneThread() {
-		Loop loop = new Loop();
+		VmEventLoop loop = new VmEventLoop();
 		CompletableFuture<Thread> timer = new CompletableFuture<>();
 		loop.after(0, () -> timer.complete(Thread.currentThread()));
 		Assertions.assertThat(threadOf(loop.resources().onServer(false))).isSameAs(timer.join());
