--- a/src/main/java/io/shallotspur/platform/StoreClient.java
+++ b/src/main/java/io/shallotspur/platform/StoreClient.java
@@ -104,7 +104,7 @@
 	 * @return {@code false} if its era cannot be known yet
 	 */
 	boolean hasAnswered() {
-		return this.eras.begun();
+		return this.eras.initialized();
 	}
 
 	/**
@@ -158,7 +158,7 @@
 		if (era.isEmpty() && status >= SERVER_ERROR) {
 			return true;
 		}
-		return switch (this.eras.heard(era)) {
+		return switch (this.eras.observe(era)) {
 			case CURRENT -> true;
 			case RESTORED -> {
 				this.restoreListener.accept(this.eras.era());
--- a/src/main/java/io/shallotspur/platform/StoreEntryCodec.java
+++ b/src/main/java/io/shallotspur/platform/StoreEntryCodec.java
@@ -19,7 +19,7 @@
 import io.shallotspur.gateway.WorkerInfo;
 import io.shallotspur.gateway.WorkerStage;
 import io.shallotspur.registry.RegistryChange;
-import io.shallotspur.registry.StorePoint;
+import io.shallotspur.registry.StorePosition;
 import io.shallotspur.route.RouteTable;
 
 /**
@@ -39,7 +39,7 @@
 	 * Decodes an item or an event.
 	 * @param item the item or event
 	 * @param era the era of the store that sent it
-	 * @return the change, {@link RegistryChange.Unreadable} if the entry is malformed, or
+	 * @return the change, {@link RegistryChange.EntryUnreadable} if the entry is malformed, or
 	 * empty if the key is not used by entry VMs
 	 */
 	static Optional<RegistryChange> decode(JsonNode item, long era) {
@@ -48,7 +48,7 @@
 			return decode(key, item, era);
 		}
 		catch (InputException ex) {
-			return Optional.of(new RegistryChange.Unreadable(key, workerId(key), ex.getMessage()));
+			return Optional.of(new RegistryChange.EntryUnreadable(key, workerId(key), ex.getMessage()));
 		}
 	}
 
@@ -60,29 +60,29 @@
 		boolean deleted = item.path("tombstone").asBoolean(false);
 		if (key.startsWith(PlatformNames.WORKER_PREFIX)) {
 			String id = key.substring(PlatformNames.WORKER_PREFIX.length());
-			return Optional.of(deleted ? new RegistryChange.WorkerGone(id) : worker(id, value(item)));
+			return Optional.of(deleted ? new RegistryChange.WorkerRemoved(id) : worker(id, value(item)));
 		}
 		if (key.startsWith(PlatformNames.VM_PREFIX)) {
-			return Optional.of(deleted ? new RegistryChange.VmGone(key) : vm(key, value(item)));
+			return Optional.of(deleted ? new RegistryChange.VmRemoved(key) : vm(key, value(item)));
 		}
 		if (key.equals(PlatformNames.STAGE_LEADER_KEY)) {
-			return Optional.of(deleted ? new RegistryChange.DutyFree() : duty(item, era));
+			return Optional.of(deleted ? new RegistryChange.LeadershipVacant() : duty(item, era));
 		}
 		if (key.startsWith(PlatformNames.STAGE_CHANGE_PREFIX)) {
 			String id = key.substring(PlatformNames.STAGE_CHANGE_PREFIX.length());
-			return Optional.of(deleted ? new RegistryChange.StageUnmarked(id)
-					: new RegistryChange.StageMarked(id, markedStage(key, value(item))));
+			return Optional.of(deleted ? new RegistryChange.StageChangeWithdrawn(id)
+					: new RegistryChange.StageChangeAnnounced(id, markedStage(key, value(item))));
 		}
 		if (key.startsWith(PlatformNames.ENGINE_STATS_PREFIX) && !deleted) {
 			String upstream = key.substring(PlatformNames.ENGINE_STATS_PREFIX.length());
-			return Optional.of(new RegistryChange.FiguresSeen(upstream, figures(key, value(item)), point(item, era)));
+			return Optional.of(new RegistryChange.EngineStatsUpdated(upstream, figures(key, value(item)), point(item, era)));
 		}
 		if (key.equals(PlatformNames.SETTLED_ERA_KEY) && !deleted) {
 			return Optional
-				.of(new RegistryChange.Settled(new StoreEntryFields(value(item), key).nonNegativeLong("era")));
+				.of(new RegistryChange.EraSettled(new StoreEntryFields(value(item), key).nonNegativeLong("era")));
 		}
 		if (key.equals(PlatformNames.CONFIG_KEY) && !deleted) {
-			return Optional.of(new RegistryChange.Configured(configuration(item)));
+			return Optional.of(new RegistryChange.ConfigUpdated(configuration(item)));
 		}
 		return Optional.empty();
 	}
@@ -118,17 +118,17 @@
 		WorkerStage stage = f.has("stage") ? parseStage(f.text("stage")).orElseThrow(() -> f.invalidField("stage"))
 				: WorkerStage.PLAIN;
 		long startedAt = f.has(PlatformNames.STARTED_AT) ? f.nonNegativeLong(PlatformNames.STARTED_AT) : 0;
-		return new RegistryChange.WorkerSeen(new WorkerInfo(id, f.text("service"), e.host(), e.port(), f.text("zone"),
+		return new RegistryChange.WorkerUpdated(new WorkerInfo(id, f.text("service"), e.host(), e.port(), f.text("zone"),
 				f.positiveInt("slots"), stage, draining, f.nonNegativeLong("cold_remaining_ms"), startedAt));
 	}
 
-	static RegistryChange.DutyHeld duty(JsonNode item, long era) throws InputException {
+	static RegistryChange.LeaderElected duty(JsonNode item, long era) throws InputException {
 		StoreEntryFields f = new StoreEntryFields(value(item), PlatformNames.STAGE_LEADER_KEY);
-		return new RegistryChange.DutyHeld(f.text("vm"), point(item, era));
+		return new RegistryChange.LeaderElected(f.text("vm"), point(item, era));
 	}
 
-	static StorePoint point(JsonNode item, long era) {
-		return new StorePoint(era, item.path("revision").asLong());
+	static StorePosition point(JsonNode item, long era) {
+		return new StorePosition(era, item.path("revision").asLong());
 	}
 
 	private static EngineFigures figures(String key, JsonNode v) throws InputException {
@@ -164,7 +164,7 @@
 
 	private static RegistryChange vm(String key, JsonNode v) throws InputException {
 		StoreEntryFields f = new StoreEntryFields(v, key);
-		return new RegistryChange.VmSeen(new EntryVm(key, f.endpoint("address").toString(), f.text("region"),
+		return new RegistryChange.VmUpdated(new EntryVm(key, f.endpoint("address").toString(), f.text("region"),
 				f.text("hall"), f.positiveDouble("cores"), f.nonNegativeLong("crowded") > 0));
 	}
 
--- a/src/main/java/io/shallotspur/platform/StoreRegistry.java
+++ b/src/main/java/io/shallotspur/platform/StoreRegistry.java
@@ -23,8 +23,8 @@
 import io.shallotspur.gateway.WorkerStage;
 import io.shallotspur.registry.Registry;
 import io.shallotspur.registry.RegistryChange;
-import io.shallotspur.registry.RegistryNews;
-import io.shallotspur.registry.StorePoint;
+import io.shallotspur.registry.RegistryUpdate;
+import io.shallotspur.registry.StorePosition;
 import io.shallotspur.route.RouteTable;
 
 /**
@@ -61,14 +61,14 @@
 
 	private @Nullable RouteTable configuration;
 
-	private StorePoint decodedAt = StorePoint.NONE;
+	private StorePosition decodedAt = StorePosition.NONE;
 
 	StoreRegistry(Endpoint store, VmEventLoop loop) {
 		this.client = new StoreClient(store, loop);
 	}
 
 	@Override
-	public void whenRestored(LongConsumer listener) {
+	public void setRestoreListener(LongConsumer listener) {
 		this.client.onRestored(listener);
 	}
 
@@ -77,11 +77,11 @@
 	}
 
 	@Override
-	public Mono<RegistryNews> list() {
+	public Mono<RegistryUpdate> list() {
 		return readPage(ALL_KEYS, new ArrayList<>(), null);
 	}
 
-	private Mono<RegistryNews> readPage(String after, List<RegistryChange> collected, @Nullable StorePoint first) {
+	private Mono<RegistryUpdate> readPage(String after, List<RegistryChange> collected, @Nullable StorePosition first) {
 		QueryStringEncoder q = new QueryStringEncoder("/api/kv-range");
 		q.addParam("prefix", ALL_KEYS);
 		if (!after.isEmpty()) {
@@ -102,17 +102,17 @@
 			}
 			// Pages are not read from one consistent snapshot, so the watch starts at the
 			// revision of the first page and repeats any later changes.
-			StorePoint point = (first != null) ? first
-					: new StorePoint(r.era(), r.body().path("store_revision").asLong());
+			StorePosition point = (first != null) ? first
+					: new StorePosition(r.era(), r.body().path("store_revision").asLong());
 			if (r.body().path("truncated").asBoolean() && !last.isEmpty()) {
 				return readPage(last, collected, point);
 			}
-			return Mono.just(new RegistryNews(point, collected));
+			return Mono.just(new RegistryUpdate(point, collected));
 		});
 	}
 
 	@Override
-	public Mono<RegistryNews> changes(StorePoint after, long waitMs) {
+	public Mono<RegistryUpdate> watch(StorePosition after, long waitMs) {
 		QueryStringEncoder q = new QueryStringEncoder("/api/kv-watch");
 		q.addParam("prefix", ALL_KEYS);
 		q.addParam("after", Long.toString(after.revision()));
@@ -130,12 +130,12 @@
 				StoreEntryCodec.decode(e, r.era()).ifPresent(changes::add);
 			}
 			long revision = r.body().path("store_revision").asLong(after.revision());
-			return Mono.just(new RegistryNews(new StorePoint(r.era(), revision), changes));
+			return Mono.just(new RegistryUpdate(new StorePosition(r.era(), revision), changes));
 		});
 	}
 
 	@Override
-	public Mono<RouteTable> configuration() {
+	public Mono<RouteTable> readConfiguration() {
 		return readKey(PlatformNames.CONFIG_KEY).flatMap((r) -> {
 			if (r.status() != OK) {
 				return Mono.error(unexpectedStatus(r, "key"));
@@ -147,7 +147,7 @@
 	// The decoded configuration is cached: it is read repeatedly while unchanged, and a
 	// large one takes some time to decode.
 	private RouteTable configuration(JsonNode item, long era) throws InputException {
-		StorePoint p = StoreEntryCodec.point(item, era);
+		StorePosition p = StoreEntryCodec.point(item, era);
 		RouteTable t = this.configuration;
 		if (t == null || !p.equals(this.decodedAt)) {
 			t = StoreEntryCodec.configuration(item);
@@ -172,25 +172,25 @@
 	}
 
 	@Override
-	public Mono<Boolean> renew(long lease) {
+	public Mono<Boolean> renewLease(long lease) {
 		return this.client.call(HttpMethod.POST, "/api/kv-keep/" + lease, null, TIMEOUT_MS)
 			.flatMap((r) -> applied(r, "keep"));
 	}
 
 	@Override
-	public Mono<Void> endLease(long lease) {
+	public Mono<Void> revokeLease(long lease) {
 		return this.client.call(HttpMethod.DELETE, "/api/kv-lease-end/" + lease, null, TIMEOUT_MS).then();
 	}
 
 	@Override
-	public Mono<Boolean> register(EntryVm vm, long lease) {
+	public Mono<Boolean> registerVm(EntryVm vm, long lease) {
 		ObjectNode body = newTransaction();
 		addPut(body, vm.key(), StoreEntryCodec.encode(vm), lease);
 		return transact(body, "register");
 	}
 
 	@Override
-	public Mono<Boolean> claim(String vm, long lease) {
+	public Mono<Boolean> claimLeadership(String vm, long lease) {
 		ObjectNode body = newTransaction();
 		addExpectation(body, PlatformNames.STAGE_LEADER_KEY, 0);
 		addPut(body, PlatformNames.STAGE_LEADER_KEY,
@@ -199,7 +199,7 @@
 	}
 
 	@Override
-	public Mono<Optional<RegistryChange.DutyHeld>> duty() {
+	public Mono<Optional<RegistryChange.LeaderElected>> readLeader() {
 		return readKey(PlatformNames.STAGE_LEADER_KEY).flatMap((r) -> {
 			if (r.status() == NOT_FOUND) {
 				return Mono.just(Optional.empty());
@@ -212,7 +212,7 @@
 	}
 
 	@Override
-	public Mono<Boolean> mark(String worker, WorkerStage stage, StorePoint fence, long lease) {
+	public Mono<Boolean> announceStageChange(String worker, WorkerStage stage, StorePosition fence, long lease) {
 		if (fence.era() != this.client.era()) {
 			return Mono.just(false);
 		}
@@ -224,8 +224,8 @@
 	}
 
 	@Override
-	public Mono<Boolean> tell(String upstream, EngineFigures figures, StorePoint before) {
-		if (!before.equals(StorePoint.NONE) && before.era() != this.client.era()) {
+	public Mono<Boolean> publishStats(String upstream, EngineFigures figures, StorePosition before) {
+		if (!before.equals(StorePosition.NONE) && before.era() != this.client.era()) {
 			return Mono.just(false);
 		}
 		String key = PlatformNames.ENGINE_STATS_PREFIX + upstream;
@@ -236,7 +236,7 @@
 	}
 
 	@Override
-	public Mono<Boolean> settled(long era) {
+	public Mono<Boolean> publishSettled(long era) {
 		ObjectNode body = newTransaction();
 		ObjectNode value = StoreEntryCodec.JSON.createObjectNode().put("era", era);
 		addPut(body, PlatformNames.SETTLED_ERA_KEY, StoreEntryCodec.encode(value), NO_LEASE);
@@ -244,7 +244,7 @@
 	}
 
 	@Override
-	public Mono<Void> unmark(String worker) {
+	public Mono<Void> withdrawStageChange(String worker) {
 		ObjectNode body = newTransaction();
 		((ArrayNode) body.path("remove")).add(PlatformNames.STAGE_CHANGE_PREFIX + worker);
 		return transact(body, "unmark").then();
--- a/src/test/java/io/shallotspur/platform/PlatformEndToEndTests.java
+++ b/src/test/java/io/shallotspur/platform/PlatformEndToEndTests.java
@@ -21,7 +21,7 @@
 
 import io.shallotspur.cfg.Endpoint;
 import io.shallotspur.gateway.GatewaySettings;
-import io.shallotspur.registry.ChangeBounds;
+import io.shallotspur.registry.ChangeDeadlines;
 
 /**
  * End-to-end tests of an entry VM over real sockets, with a fake store, fake workers and
@@ -71,7 +71,7 @@
 	private static PlatformSettings settings(Endpoint store) {
 		Endpoint any = new Endpoint("127.0.0.1", 0);
 		return new PlatformSettings(new GatewaySettings("vm-1", "hall-a", 0.2, 50, 10_000), "region-1", 1, any, any,
-				any, any, store, 2_000, 8_000, new ChangeBounds(2_000, 2_000),
+				any, any, store, 2_000, 8_000, new ChangeDeadlines(2_000, 2_000),
 				new PlatformSettings.OrderSettings(true, 0), new PlatformSettings.LogSettings("info", 10));
 	}
 
--- a/src/test/java/io/shallotspur/platform/StoreEntryCodecTests.java
+++ b/src/test/java/io/shallotspur/platform/StoreEntryCodecTests.java
@@ -63,7 +63,7 @@
 
 	@Test
 	void decodesWorker() {
-		RegistryChange.WorkerSeen w = (RegistryChange.WorkerSeen) decodeWorker(VALID_WORKER).orElseThrow();
+		RegistryChange.WorkerUpdated w = (RegistryChange.WorkerUpdated) decodeWorker(VALID_WORKER).orElseThrow();
 		Assertions.assertThat(w.worker().stage()).isEqualTo(WorkerStage.DECODE);
 		Assertions.assertThat(w.worker().startedAt()).isEqualTo(1_700_000_000_000L);
 		Assertions.assertThat(w.worker().slots()).isEqualTo(16);
@@ -73,7 +73,7 @@
 	void decodesPlainWorkerWithoutStageAndStartTime() {
 		ObjectNode n = validWorker();
 		n.remove(List.of("stage", "born"));
-		RegistryChange.WorkerSeen w = (RegistryChange.WorkerSeen) decodeWorker(n.toString()).orElseThrow();
+		RegistryChange.WorkerUpdated w = (RegistryChange.WorkerUpdated) decodeWorker(n.toString()).orElseThrow();
 		Assertions.assertThat(w.worker().stage()).isEqualTo(WorkerStage.PLAIN);
 		Assertions.assertThat(w.worker().startedAt()).isZero();
 	}
@@ -82,7 +82,7 @@
 	@ValueSource(strings = { "", "[]", "7", "null", "{", "{}", "\"ready\"" })
 	void rejectsWorkerThatIsNoObjectWithFields(String value) {
 		Assertions.assertThat(decodeWorker(value).orElseThrow())
-			.isInstanceOfSatisfying(RegistryChange.Unreadable.class,
+			.isInstanceOfSatisfying(RegistryChange.EntryUnreadable.class,
 					(u) -> Assertions.assertThat(u.worker()).isEqualTo("i-1"));
 	}
 
@@ -92,17 +92,17 @@
 	void rejectsWorkerWithInvalidValues(String change) {
 		int i = change.indexOf(':');
 		ObjectNode n = validWorker().put(change.substring(0, i), change.substring(i + 1));
-		Assertions.assertThat(decodeWorker(n.toString()).orElseThrow()).isInstanceOf(RegistryChange.Unreadable.class);
+		Assertions.assertThat(decodeWorker(n.toString()).orElseThrow()).isInstanceOf(RegistryChange.EntryUnreadable.class);
 	}
 
 	@Test
 	void rejectsWorkerThatIsNotTextOrBase64() {
 		ObjectNode n = item("servers/i-1", new byte[] { (byte) 0xff, 0, 3 });
 		Assertions.assertThat(StoreEntryCodec.decode(n, ERA).orElseThrow())
-			.isInstanceOf(RegistryChange.Unreadable.class);
+			.isInstanceOf(RegistryChange.EntryUnreadable.class);
 		n.put("value", "*** no base64 ***");
 		Assertions.assertThat(StoreEntryCodec.decode(n, ERA).orElseThrow())
-			.isInstanceOf(RegistryChange.Unreadable.class);
+			.isInstanceOf(RegistryChange.EntryUnreadable.class);
 	}
 
 	// Other writers may also write malformed values under the keys of VMs, the stage
@@ -112,7 +112,7 @@
 	void rejectsMalformedEntriesOfOtherKinds(String key) {
 		for (String value : List.of("{}", "[]", "7", "{", "{\"address\":7,\"vm\":[],\"stage\":\"x\"}")) {
 			Assertions.assertThat(StoreEntryCodec.decode(item(key, value), ERA).orElseThrow())
-				.isInstanceOfSatisfying(RegistryChange.Unreadable.class,
+				.isInstanceOfSatisfying(RegistryChange.EntryUnreadable.class,
 						(u) -> Assertions.assertThat(u.worker()).isNull());
 		}
 	}
@@ -130,8 +130,8 @@
 		for (JsonNode i : List.of(item("servers/i-1", corrupted), item("servers/i-2", VALID_WORKER))) {
 			StoreEntryCodec.decode(i, ERA).ifPresent(l::add);
 		}
-		Assertions.assertThat(l.get(0)).isInstanceOf(RegistryChange.Unreadable.class);
-		Assertions.assertThat(l.get(1)).isInstanceOf(RegistryChange.WorkerSeen.class);
+		Assertions.assertThat(l.get(0)).isInstanceOf(RegistryChange.EntryUnreadable.class);
+		Assertions.assertThat(l.get(1)).isInstanceOf(RegistryChange.WorkerUpdated.class);
 	}
 
 	private static String corrupt(ObjectNode n, String field, Random r) {
