--- a/src/main/java/io/shallotspur/platform/CallerIngress.java
+++ b/src/main/java/io/shallotspur/platform/CallerIngress.java
@@ -110,7 +110,7 @@
 	}
 
 	private Mono<Void> handle(HttpServerRequest req, HttpServerResponse res) {
-		IngressLimits limits = this.gateway.table().map(RouteTable::limits).orElse(IngressLimits.DEFAULT);
+		IngressLimits limits = this.gateway.routeTable().map(RouteTable::limits).orElse(IngressLimits.DEFAULT);
 		HttpCallerResponse response = new HttpCallerResponse(res, () -> this.draining);
 		if (headerBytes(req) > limits.maxHeaderBytes()) {
 			return refuse(response, res, HEADERS_TOO_LARGE);
--- a/src/main/java/io/shallotspur/platform/ControlServers.java
+++ b/src/main/java/io/shallotspur/platform/ControlServers.java
@@ -18,7 +18,7 @@
 import reactor.netty.http.server.HttpServerResponse;
 
 import io.shallotspur.cfg.Endpoint;
-import io.shallotspur.gateway.EntryVms;
+import io.shallotspur.gateway.EntryVmDirectory;
 
 /**
  * HTTP servers for the readiness check, the entry VM addresses that callers may use, and
@@ -33,13 +33,13 @@
 
 	private final VmEventLoop loop;
 
-	private final EntryVms vms;
+	private final EntryVmDirectory vms;
 
 	private final LongSupplier clock;
 
 	private final long ttlMs;
 
-	ControlServers(VmEventLoop loop, EntryVms vms, LongSupplier clock, long ttlMs) {
+	ControlServers(VmEventLoop loop, EntryVmDirectory vms, LongSupplier clock, long ttlMs) {
 		this.loop = loop;
 		this.vms = vms;
 		this.clock = clock;
@@ -74,7 +74,7 @@
 
 	private Publisher<Void> sendAddresses(HttpServerRequest req, HttpServerResponse res, BooleanSupplier synced) {
 		List<String> regions = new QueryStringDecoder(req.uri()).parameters().getOrDefault("region", List.of(""));
-		List<String> addresses = this.vms.forCaller(regions.get(0), MAX_ADDRESSES, this.clock.getAsLong());
+		List<String> addresses = this.vms.addressesFor(regions.get(0), MAX_ADDRESSES, this.clock.getAsLong());
 		if (!synced.getAsBoolean() || addresses.isEmpty()) {
 			return res.status(HttpResponseStatus.SERVICE_UNAVAILABLE).send();
 		}
--- a/src/main/java/io/shallotspur/platform/HttpCallerResponse.java
+++ b/src/main/java/io/shallotspur/platform/HttpCallerResponse.java
@@ -15,7 +15,7 @@
 import reactor.netty.NettyOutbound;
 import reactor.netty.http.server.HttpServerResponse;
 
-import io.shallotspur.gateway.CallerAnswer;
+import io.shallotspur.gateway.CallerResponse;
 import io.shallotspur.gateway.HeaderField;
 import io.shallotspur.gateway.RefusalReason;
 import io.shallotspur.gateway.RelayRefusal;
@@ -23,11 +23,11 @@
 /**
  * The HTTP response to one caller. Confined to the event loop.
  * <p>
- * Invariant: a chunked response gets its final chunk only from {@link #end}.
- * {@link #breakOff} closes the connection without it, so the caller sees that the
+ * Invariant: a chunked response gets its final chunk only from {@link #complete}.
+ * {@link #abort} closes the connection without it, so the caller sees that the
  * response is incomplete.
  */
-final class HttpCallerResponse implements CallerAnswer {
+final class HttpCallerResponse implements CallerResponse {
 
 	private static final double MS_PER_S = 1_000;
 
@@ -64,7 +64,7 @@
 	}
 
 	@Override
-	public void whole(int status, List<HeaderField> headers, byte[] body) {
+	public void send(int status, List<HeaderField> headers, byte[] body) {
 		head(status, headers);
 		this.response.header(HttpHeaderNames.CONTENT_LENGTH, Integer.toString(body.length));
 		this.output.tryEmitValue(this.response.sendObject(Unpooled.wrappedBuffer(body)));
@@ -82,11 +82,11 @@
 		if (refusal.code() == RefusalReason.BAD_REQUEST) {
 			this.response.header(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
 		}
-		whole(refusal.status(), List.of(new HeaderField("Content-Type", "text/plain")), body);
+		send(refusal.status(), List.of(new HeaderField("Content-Type", "text/plain")), body);
 	}
 
 	@Override
-	public void begin(int status, List<HeaderField> headers) {
+	public void start(int status, List<HeaderField> headers) {
 		head(status, headers);
 		NettyOutbound out = this.response.send(this.chunks.asFlux(), (b) -> true);
 		this.output.tryEmitValue(out);
@@ -98,12 +98,12 @@
 	}
 
 	@Override
-	public void end() {
+	public void complete() {
 		this.chunks.tryEmitComplete();
 	}
 
 	@Override
-	public void breakOff() {
+	public void abort() {
 		this.response.withConnection((c) -> c.channel().close());
 	}
 
--- a/src/main/java/io/shallotspur/platform/HttpWorkerPort.java
+++ b/src/main/java/io/shallotspur/platform/HttpWorkerPort.java
@@ -23,8 +23,8 @@
 import reactor.netty.http.client.HttpClientResponse;
 import reactor.netty.resources.ConnectionProvider;
 
-import io.shallotspur.gateway.AnswerHead;
-import io.shallotspur.gateway.AnswerOrigin;
+import io.shallotspur.gateway.ResponseHead;
+import io.shallotspur.gateway.ResponseAuthenticity;
 import io.shallotspur.gateway.Exchange;
 import io.shallotspur.gateway.ExchangeFailure;
 import io.shallotspur.gateway.ExchangeListener;
@@ -128,7 +128,7 @@
 		return d::dispose;
 	}
 
-	private static AnswerHead head(RelayRequest request, HttpClientResponse r) {
+	private static ResponseHead head(RelayRequest request, HttpClientResponse r) {
 		return ResponseHeadDecoder.head(request.id(), r.status().code(), r.responseHeaders());
 	}
 
@@ -148,16 +148,16 @@
 	}
 
 	private static PrefillResponse prefillResponse(RelayRequest request, HttpClientResponse r, byte[] body) {
-		AnswerHead head = head(request, r);
+		ResponseHead head = head(request, r);
 		String handle = kvHandle(head, body);
 		// Prefill responses are not signed; one with a KV handle is taken as the worker's
 		// own.
-		boolean complete = !handle.isEmpty() && head.origin() != AnswerOrigin.FOREIGN;
+		boolean complete = !handle.isEmpty() && head.authenticity() != ResponseAuthenticity.MISMATCHED;
 		return new PrefillResponse(head, handle,
-				complete ? ResponseHeadDecoder.loadAndLimit(r.responseHeaders(), true) : head.news());
+				complete ? ResponseHeadDecoder.loadAndLimit(r.responseHeaders(), true) : head.workerStatus());
 	}
 
-	private static String kvHandle(AnswerHead head, byte[] body) {
+	private static String kvHandle(ResponseHead head, byte[] body) {
 		try {
 			JsonNode n = StoreEntryCodec.JSON.readTree(body);
 			return (head.status() == OK) ? n.path("kv_handle").asText() : "";
@@ -173,11 +173,11 @@
 	private static void notifyListener(PrefillResponse p, PrefillListener listener) {
 		listener.onNews(p.loadAndLimit());
 		String status = "status " + p.head().status();
-		if (!p.handle().isEmpty() && p.head().origin() != AnswerOrigin.FOREIGN) {
+		if (!p.handle().isEmpty() && p.head().authenticity() != ResponseAuthenticity.MISMATCHED) {
 			listener.onReady(p.handle());
 		}
 		else if (p.head().notRun()) {
-			listener.onRefused(status, p.head().otherWorker());
+			listener.onRefused(status, p.head().otherIncarnation());
 		}
 		else {
 			listener.onFailure(new ExchangeFailure(true, status));
@@ -185,12 +185,12 @@
 	}
 
 	@Override
-	public void release(KvSource source) {
+	public void releaseKvCache(KvSource source) {
 		delete(source.worker(), PlatformNames.KV_HANDLE_PATH + source.handle());
 	}
 
 	@Override
-	public void drop(WorkerInfo worker, String hold) {
+	public void cancelReservation(WorkerInfo worker, String hold) {
 		delete(worker, PlatformNames.RELEASE_PATH + hold);
 	}
 
@@ -204,7 +204,7 @@
 	}
 
 	@Override
-	public void hold(WorkerInfo worker, int tokens, long ttlMs, HoldListener listener) {
+	public void reserve(WorkerInfo worker, int tokens, long ttlMs, HoldListener listener) {
 		ObjectNode body = StoreEntryCodec.JSON.createObjectNode().put("tokens", tokens).put("ttl_ms", ttlMs);
 		this.controlClient.post(worker, PlatformNames.RESERVE_PATH, body)
 			.responseSingle((r,
@@ -260,7 +260,7 @@
 		RelayRequest q = call.request();
 		q.headers().forEach((f) -> h.add(f.name(), f.value()));
 		h.set(PlatformNames.REQUEST_ID, q.id());
-		h.set(PlatformNames.REMAINING_MS, call.timeLeftMs());
+		h.set(PlatformNames.REMAINING_MS, call.timeoutMs());
 		h.set(PlatformNames.EXPECTED_INSTANCE, call.worker().id());
 		if (q.body().length > 0 || !q.method().equals("GET")) {
 			h.set(HttpHeaderNames.CONTENT_LENGTH, q.body().length);
@@ -280,8 +280,8 @@
 		if (!stage.isEmpty()) {
 			h.set(PlatformNames.STAGE, stage);
 		}
-		if (call.hold() != null) {
-			h.set(PlatformNames.RESERVATION, call.hold());
+		if (call.reservation() != null) {
+			h.set(PlatformNames.RESERVATION, call.reservation());
 		}
 		if (call.kvSource() != null) {
 			h.set(PlatformNames.KV_SOURCE, call.kvSource().worker().address() + "/" + call.kvSource().handle());
@@ -307,7 +307,7 @@
 	/**
 	 * A worker's response to a prefill request.
 	 */
-	private record PrefillResponse(AnswerHead head, String handle, WorkerNews loadAndLimit) {
+	private record PrefillResponse(ResponseHead head, String handle, WorkerNews loadAndLimit) {
 
 	}
 
--- a/src/main/java/io/shallotspur/platform/PlatformVm.java
+++ b/src/main/java/io/shallotspur/platform/PlatformVm.java
@@ -85,7 +85,7 @@
 		this.gateway = new Gateway(s.gateway(), ports);
 		StoreRegistry registry = new StoreRegistry(s.store(), this.loop);
 		ConfigReader reader = new ConfigReader(registry, this.gateway);
-		this.gateway.configSource(reader);
+		this.gateway.setConfigSource(reader);
 		String incarnation = Long.toHexString(ThreadLocalRandom.current().nextLong());
 		EntryVm self = new EntryVm(PlatformNames.VM_PREFIX + s.callers() + "/" + incarnation, s.callers().toString(),
 				s.region(), s.gateway().hall(), s.cores(), false);
@@ -94,10 +94,10 @@
 				() -> ThreadLocalRandom.current().nextDouble(), s.changeBounds());
 		this.follower.setOwnRegistration(self.key(), this.registration::start);
 		this.registration.setNoAnswerListener(this.follower::onCallUnanswered);
-		Leadership duty = new Leadership(registry, this.registration, this.gateway.vms(), self.key(), s.orders().takeoverDelayMs(),
+		Leadership duty = new Leadership(registry, this.registration, this.gateway.entryVms(), self.key(), s.orders().takeoverDelayMs(),
 				this.clock);
 		this.follower.setLeadership(duty);
-		this.stages = new StageKeeper(s.gateway().vm(), this.gateway, duty,
+		this.stages = new StageKeeper(s.gateway().vmName(), this.gateway, duty,
 				new HttpStagePort(workers.controlClient(), this.loop), this.loop, this.clock,
 				s.changeBounds().propagationMs());
 		this.figures = new SharedEngineStats(registry, this.gateway, this.loop,
@@ -109,7 +109,7 @@
 		this.metrics.registry().gauge("store.era", () -> registry::era);
 		this.loadSampler = new VmLoadSampler(this.loop, this.clock, this.gateway::inProgress,
 				this.registration::setCrowded);
-		this.gateway.vms().own(self);
+		this.gateway.entryVms().registerSelf(self);
 		this.ingress = new CallerIngress(s.callers(), this.loop, this.gateway);
 	}
 
@@ -128,7 +128,7 @@
 	}
 
 	private Flux<DisposableServer> bindSockets() {
-		ControlServers c = new ControlServers(this.loop, this.gateway.vms(), this.clock, this.settings.locateTtlMs());
+		ControlServers c = new ControlServers(this.loop, this.gateway.entryVms(), this.clock, this.settings.locateTtlMs());
 		return Flux
 			.just(this.ingress.bind(), c.readiness(this.settings.readiness(), this::ready),
 					c.locate(this.settings.locate(), () -> this.follower.initialized() && !this.draining),
@@ -141,17 +141,17 @@
 		this.registration.start();
 		this.figures.start();
 		this.loadSampler.start();
-		this.gateway.watchClocks();
+		this.gateway.startClockSampling();
 		if (this.settings.orders().fenced()) {
 			this.stages.start();
 		}
-		Logger.info("[run] started vm={} hall={} callers={} metrics={} store={}", this.settings.gateway().vm(),
+		Logger.info("[run] started vm={} hall={} callers={} metrics={} store={}", this.settings.gateway().vmName(),
 				this.settings.gateway().hall(), this.settings.callers(), this.settings.metrics(),
 				this.settings.store());
 	}
 
 	private boolean ready() {
-		return !this.draining && this.follower.initialized() && this.gateway.table().isPresent();
+		return !this.draining && this.follower.initialized() && this.gateway.routeTable().isPresent();
 	}
 
 	/**
@@ -195,7 +195,7 @@
 		this.loop.execute(this.stages::stop);
 		this.loop.execute(this.figures::stop);
 		this.loop.execute(this.loadSampler::stop);
-		this.loop.execute(this.gateway::unwatchClocks);
+		this.loop.execute(this.gateway::stopClockSampling);
 		this.loop.execute(this.follower::stop);
 		this.servers.forEach((s) -> s.dispose());
 		this.loop.close();
@@ -219,7 +219,7 @@
 
 	private void beginDrain(long lateDeadline, long drainDeadline) {
 		this.draining = true;
-		this.gateway.leave(lateDeadline, drainDeadline);
+		this.gateway.drain(lateDeadline, drainDeadline);
 		this.stages.stop();
 		this.ingress.closeAfterResponses();
 		this.registration.deregister().timeout(Duration.ofMillis(EXIT_MARGIN_MS)).onErrorComplete().subscribe();
--- a/src/main/java/io/shallotspur/platform/ResponseHeadDecoder.java
+++ b/src/main/java/io/shallotspur/platform/ResponseHeadDecoder.java
@@ -6,8 +6,8 @@
 import org.jspecify.annotations.Nullable;
 import org.tinylog.Logger;
 
-import io.shallotspur.gateway.AnswerHead;
-import io.shallotspur.gateway.AnswerOrigin;
+import io.shallotspur.gateway.ResponseHead;
+import io.shallotspur.gateway.ResponseAuthenticity;
 import io.shallotspur.gateway.LoadReport;
 import io.shallotspur.gateway.WorkerLimit;
 import io.shallotspur.gateway.WorkerNews;
@@ -25,16 +25,16 @@
 	private ResponseHeadDecoder() {
 	}
 
-	static AnswerHead head(String requestId, int status, HttpHeaders h) {
+	static ResponseHead head(String requestId, int status, HttpHeaders h) {
 		boolean otherIncarnation = status == MISDIRECTED;
 		boolean notExecuted = h.contains(PlatformNames.NOT_EXECUTED) || otherIncarnation;
-		AnswerOrigin origin = origin(requestId, h);
+		ResponseAuthenticity origin = origin(requestId, h);
 		// The load and limit headers describe this worker only if the response comes from
 		// the expected incarnation and answers this request.
-		boolean complete = origin == AnswerOrigin.SIGNED && HttpStatusClass.SUCCESS.contains(status);
-		WorkerNews news = (otherIncarnation || origin == AnswerOrigin.FOREIGN) ? WorkerNews.NONE
+		boolean complete = origin == ResponseAuthenticity.SIGNED && HttpStatusClass.SUCCESS.contains(status);
+		WorkerNews news = (otherIncarnation || origin == ResponseAuthenticity.MISMATCHED) ? WorkerNews.NONE
 				: loadAndLimit(h, complete);
-		return new AnswerHead(status, PlatformNames.forwardedHeaders(h), origin, notExecuted, otherIncarnation, news);
+		return new ResponseHead(status, PlatformNames.forwardedHeaders(h), origin, notExecuted, otherIncarnation, news);
 	}
 
 	/**
@@ -65,16 +65,16 @@
 		return null;
 	}
 
-	private static AnswerOrigin origin(String requestId, HttpHeaders h) {
+	private static ResponseAuthenticity origin(String requestId, HttpHeaders h) {
 		String echoed = h.get(PlatformNames.REQUEST_ID);
 		// A late response to an earlier request on the same connection can only be
 		// detected by its id. Requests never ask for a content encoding, so an encoded
 		// body is not the worker's own response.
 		boolean otherRequest = echoed != null && !echoed.equals(requestId);
 		if (otherRequest || h.contains(HttpHeaderNames.CONTENT_ENCODING)) {
-			return AnswerOrigin.FOREIGN;
+			return ResponseAuthenticity.MISMATCHED;
 		}
-		return (echoed != null && h.contains(PlatformNames.SIGNATURE)) ? AnswerOrigin.SIGNED : AnswerOrigin.UNSIGNED;
+		return (echoed != null && h.contains(PlatformNames.SIGNATURE)) ? ResponseAuthenticity.SIGNED : ResponseAuthenticity.UNSIGNED;
 	}
 
 	private static @Nullable LoadReport load(@Nullable String v) {
--- a/src/main/java/io/shallotspur/platform/StoreEntryCodec.java
+++ b/src/main/java/io/shallotspur/platform/StoreEntryCodec.java
@@ -178,7 +178,7 @@
 			.put("region", vm.region())
 			.put("hall", vm.hall())
 			.put("cores", vm.cores())
-			.put("crowded", vm.crowded() ? 1 : 0));
+			.put("crowded", vm.overloaded() ? 1 : 0));
 	}
 
 	static String encode(ObjectNode n) {
--- a/src/test/java/io/shallotspur/platform/VmEventLoopTests.java
+++ b/src/test/java/io/shallotspur/platform/VmEventLoopTests.java
@@ -18,7 +18,7 @@
 	void serversClientsAndTimersShareOneThread() {
 		VmEventLoop loop = new VmEventLoop();
 		CompletableFuture<Thread> timer = new CompletableFuture<>();
-		loop.after(0, () -> timer.complete(Thread.currentThread()));
+		loop.schedule(0, () -> timer.complete(Thread.currentThread()));
 		Assertions.assertThat(threadOf(loop.resources().onServer(false))).isSameAs(timer.join());
 		Assertions.assertThat(threadOf(loop.resources().onClient(false))).isSameAs(timer.join());
 		loop.close();
