--- a/src/main/java/io/shallotspur/platform/ResponseHeadDecoder.java
+++ b/src/main/java/io/shallotspur/platform/ResponseHeadDecoder.java
@@ -9,7 +9,7 @@
 import io.shallotspur.gateway.ResponseHead;
 import io.shallotspur.gateway.ResponseAuthenticity;
 import io.shallotspur.gateway.LoadReport;
-import io.shallotspur.gateway.WorkerLimit;
+import io.shallotspur.gateway.WorkerRateLimit;
 import io.shallotspur.gateway.WorkerNews;
 
 /**
@@ -48,14 +48,14 @@
 		return new WorkerNews(load(h.get(PlatformNames.LOAD)), limit(h.get(PlatformNames.RATE_LIMIT), complete));
 	}
 
-	private static @Nullable WorkerLimit limit(@Nullable String v, boolean complete) {
+	private static @Nullable WorkerRateLimit limit(@Nullable String v, boolean complete) {
 		if (v == null) {
-			return complete ? WorkerLimit.NONE : null;
+			return complete ? WorkerRateLimit.UNLIMITED : null;
 		}
 		try {
 			double perSecond = Double.parseDouble(v.strip());
 			if (perSecond >= 0 && perSecond < Double.POSITIVE_INFINITY) {
-				return new WorkerLimit(perSecond);
+				return new WorkerRateLimit(perSecond);
 			}
 		}
 		catch (NumberFormatException ex) {
--- a/src/test/java/io/shallotspur/platform/ResponseHeadDecoderTests.java
+++ b/src/test/java/io/shallotspur/platform/ResponseHeadDecoderTests.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 import io.shallotspur.gateway.ResponseHead;
-import io.shallotspur.gateway.WorkerLimit;
+import io.shallotspur.gateway.WorkerRateLimit;
 
 /**
  * Tests of {@link ResponseHeadDecoder}, in particular of the rate limit of a worker.
@@ -26,14 +26,14 @@
 	@Test
 	void decodesTheReportedLimit() {
 		Assertions.assertThat(head(200, signed().add("Server-Limit", "3.9")).workerStatus().limit())
-			.isEqualTo(new WorkerLimit(3.9));
+			.isEqualTo(new WorkerRateLimit(3.9));
 		Assertions.assertThat(head(500, signed().add("Server-Limit", "0")).workerStatus().limit())
-			.isEqualTo(new WorkerLimit(0));
+			.isEqualTo(new WorkerRateLimit(0));
 	}
 
 	@Test
 	void successWithoutLimitEndsTheLimit() {
-		Assertions.assertThat(head(200, signed()).workerStatus().limit()).isEqualTo(WorkerLimit.NONE);
+		Assertions.assertThat(head(200, signed()).workerStatus().limit()).isEqualTo(WorkerRateLimit.UNLIMITED);
 	}
 
 	// An overloaded worker sends refusals and failures without all of its usual headers.
@@ -43,7 +43,7 @@
 		Assertions.assertThat(head(500, signed()).workerStatus().limit()).isNull();
 		HttpHeaders h = new DefaultHttpHeaders().add("X-Request-Id", "r1").add("X-Not-Executed", "1");
 		Assertions.assertThat(head(503, h).workerStatus().limit()).isNull();
-		Assertions.assertThat(head(503, h.add("Server-Limit", "2.5")).workerStatus().limit()).isEqualTo(new WorkerLimit(2.5));
+		Assertions.assertThat(head(503, h.add("Server-Limit", "2.5")).workerStatus().limit()).isEqualTo(new WorkerRateLimit(2.5));
 	}
 
 	// A response from another worker at the address, or to an earlier request, must
