--- a/src/main/java/io/shallotspur/platform/HttpWorkerPort.java
+++ b/src/main/java/io/shallotspur/platform/HttpWorkerPort.java
@@ -28,13 +28,13 @@
 import io.shallotspur.gateway.Exchange;
 import io.shallotspur.gateway.ExchangeFailure;
 import io.shallotspur.gateway.ExchangeListener;
-import io.shallotspur.gateway.HoldListener;
+import io.shallotspur.gateway.ReservationListener;
 import io.shallotspur.gateway.KvSource;
 import io.shallotspur.gateway.PrefillListener;
 import io.shallotspur.gateway.RelayRequest;
 import io.shallotspur.gateway.WorkerCall;
 import io.shallotspur.gateway.WorkerInfo;
-import io.shallotspur.gateway.WorkerNews;
+import io.shallotspur.gateway.WorkerStatus;
 import io.shallotspur.gateway.WorkerPort;
 import io.shallotspur.gateway.WorkerStage;
 
@@ -171,7 +171,7 @@
 	}
 
 	private static void notifyListener(PrefillResponse p, PrefillListener listener) {
-		listener.onNews(p.loadAndLimit());
+		listener.onStatus(p.loadAndLimit());
 		String status = "status " + p.head().status();
 		if (!p.handle().isEmpty() && p.head().authenticity() != ResponseAuthenticity.MISMATCHED) {
 			listener.onReady(p.handle());
@@ -204,7 +204,7 @@
 	}
 
 	@Override
-	public void reserve(WorkerInfo worker, int tokens, long ttlMs, HoldListener listener) {
+	public void reserve(WorkerInfo worker, int tokens, long ttlMs, ReservationListener listener) {
 		ObjectNode body = StoreEntryCodec.JSON.createObjectNode().put("tokens", tokens).put("ttl_ms", ttlMs);
 		this.controlClient.post(worker, PlatformNames.RESERVE_PATH, body)
 			.responseSingle((r,
@@ -217,7 +217,7 @@
 	private static ReservationResponse reservationResponse(HttpClientResponse r, byte[] body) {
 		int status = r.status().code();
 		boolean otherIncarnation = status == ResponseHeadDecoder.MISDIRECTED;
-		WorkerNews loadAndLimit = otherIncarnation ? WorkerNews.NONE
+		WorkerStatus loadAndLimit = otherIncarnation ? WorkerStatus.NONE
 				: ResponseHeadDecoder.loadAndLimit(r.responseHeaders(), false);
 		return new ReservationResponse(status, reservationId(status, body), loadAndLimit);
 	}
@@ -233,16 +233,16 @@
 		}
 	}
 
-	private static void notifyListener(ReservationResponse a, HoldListener listener) {
-		listener.onNews(a.loadAndLimit());
+	private static void notifyListener(ReservationResponse a, ReservationListener listener) {
+		listener.onStatus(a.loadAndLimit());
 		if (a.reservation().isPresent()) {
-			listener.onHeld(a.reservation().get());
+			listener.onReserved(a.reservation().get());
 		}
 		else if (a.status() == ResponseHeadDecoder.MISDIRECTED) {
-			listener.onReplaced();
+			listener.onInstanceReplaced();
 		}
 		else {
-			listener.onFull();
+			listener.onNoCapacity();
 		}
 	}
 
@@ -300,14 +300,14 @@
 	/**
 	 * A worker's response to a reservation call.
 	 */
-	private record ReservationResponse(int status, Optional<String> reservation, WorkerNews loadAndLimit) {
+	private record ReservationResponse(int status, Optional<String> reservation, WorkerStatus loadAndLimit) {
 
 	}
 
 	/**
 	 * A worker's response to a prefill request.
 	 */
-	private record PrefillResponse(ResponseHead head, String handle, WorkerNews loadAndLimit) {
+	private record PrefillResponse(ResponseHead head, String handle, WorkerStatus loadAndLimit) {
 
 	}
 
--- a/src/main/java/io/shallotspur/platform/RequestDecoder.java
+++ b/src/main/java/io/shallotspur/platform/RequestDecoder.java
@@ -8,7 +8,7 @@
 
 import io.shallotspur.contract.BearerKey;
 import io.shallotspur.exc.InputException;
-import io.shallotspur.gateway.PromptShape;
+import io.shallotspur.gateway.PromptInfo;
 import io.shallotspur.gateway.RelayRequest;
 
 /**
@@ -51,7 +51,7 @@
 		return (v != null) ? Math.max(0, (long) parseNumber(v, PlatformNames.REMAINING_MS)) : Long.MAX_VALUE;
 	}
 
-	private static @Nullable PromptShape prompt(HttpHeaders h) throws InputException {
+	private static @Nullable PromptInfo prompt(HttpHeaders h) throws InputException {
 		String counts = h.get(PlatformNames.TOKEN_COUNTS);
 		if (counts == null) {
 			return null;
@@ -62,7 +62,7 @@
 		String hint = h.get(PlatformNames.LENGTH_HINT);
 		int expectedOutputTokens = (hint != null)
 				? Math.min(maxOutputTokens, (int) parseNumber(hint, PlatformNames.LENGTH_HINT)) : maxOutputTokens;
-		return new PromptShape(promptTokens, maxOutputTokens, expectedOutputTokens);
+		return new PromptInfo(promptTokens, maxOutputTokens, expectedOutputTokens);
 	}
 
 	private static double parseNumber(String v, String field) throws InputException {
--- a/src/main/java/io/shallotspur/platform/ResponseHeadDecoder.java
+++ b/src/main/java/io/shallotspur/platform/ResponseHeadDecoder.java
@@ -10,7 +10,7 @@
 import io.shallotspur.gateway.ResponseAuthenticity;
 import io.shallotspur.gateway.LoadReport;
 import io.shallotspur.gateway.WorkerRateLimit;
-import io.shallotspur.gateway.WorkerNews;
+import io.shallotspur.gateway.WorkerStatus;
 
 /**
  * Decodes the status and headers of a worker's response. Stateless.
@@ -32,7 +32,7 @@
 		// The load and limit headers describe this worker only if the response comes from
 		// the expected incarnation and answers this request.
 		boolean complete = origin == ResponseAuthenticity.SIGNED && HttpStatusClass.SUCCESS.contains(status);
-		WorkerNews news = (otherIncarnation || origin == ResponseAuthenticity.MISMATCHED) ? WorkerNews.NONE
+		WorkerStatus news = (otherIncarnation || origin == ResponseAuthenticity.MISMATCHED) ? WorkerStatus.NONE
 				: loadAndLimit(h, complete);
 		return new ResponseHead(status, PlatformNames.forwardedHeaders(h), origin, notExecuted, otherIncarnation, news);
 	}
@@ -44,8 +44,8 @@
 	 * that a missing limit means that the worker has none
 	 * @return the load and limit; {@code null} for each that is not reported
 	 */
-	static WorkerNews loadAndLimit(HttpHeaders h, boolean complete) {
-		return new WorkerNews(load(h.get(PlatformNames.LOAD)), limit(h.get(PlatformNames.RATE_LIMIT), complete));
+	static WorkerStatus loadAndLimit(HttpHeaders h, boolean complete) {
+		return new WorkerStatus(load(h.get(PlatformNames.LOAD)), limit(h.get(PlatformNames.RATE_LIMIT), complete));
 	}
 
 	private static @Nullable WorkerRateLimit limit(@Nullable String v, boolean complete) {
--- a/src/main/java/io/shallotspur/platform/StoreEntryCodec.java
+++ b/src/main/java/io/shallotspur/platform/StoreEntryCodec.java
@@ -13,9 +13,9 @@
 
 import io.shallotspur.cfg.Endpoint;
 import io.shallotspur.exc.InputException;
-import io.shallotspur.gateway.EngineFigures;
+import io.shallotspur.gateway.EngineStatistics;
 import io.shallotspur.gateway.EntryVm;
-import io.shallotspur.gateway.LengthModel;
+import io.shallotspur.gateway.OutputLengthModel;
 import io.shallotspur.gateway.WorkerInfo;
 import io.shallotspur.gateway.WorkerStage;
 import io.shallotspur.registry.RegistryChange;
@@ -131,27 +131,27 @@
 		return new StorePosition(era, item.path("revision").asLong());
 	}
 
-	private static EngineFigures figures(String key, JsonNode v) throws InputException {
+	private static EngineStatistics figures(String key, JsonNode v) throws InputException {
 		StoreEntryFields f = new StoreEntryFields(v, key);
-		return new EngineFigures(f.positiveInt("samples"), f.positiveDouble("prompt_tokens"),
+		return new EngineStatistics(f.positiveInt("samples"), f.positiveDouble("prompt_tokens"),
 				f.positiveDouble("answer_tokens"), f.positiveDouble("reserved_tokens"),
 				f.positiveDouble("prefill_token_ms"), f.finiteDouble("added_token_ms"),
-				f.positiveDouble("answer_token_ms"), new LengthModel(f.finiteDouble("length_intercept"),
+				f.positiveDouble("answer_token_ms"), new OutputLengthModel(f.finiteDouble("length_intercept"),
 						f.finiteDouble("length_slope"), f.positiveDouble("length_deviation")));
 	}
 
-	static String encode(EngineFigures f) {
+	static String encode(EngineStatistics f) {
 		return encode(JSON.createObjectNode()
 			.put("samples", f.samples())
 			.put("prompt_tokens", f.promptTokens())
-			.put("answer_tokens", f.answerTokens())
+			.put("answer_tokens", f.outputTokens())
 			.put("reserved_tokens", f.reservedTokens())
 			.put("prefill_token_ms", f.prefillTokenMs())
-			.put("added_token_ms", f.addedTokenMs())
-			.put("answer_token_ms", f.answerTokenMs())
-			.put("length_intercept", f.lengths().intercept())
-			.put("length_slope", f.lengths().slope())
-			.put("length_deviation", f.lengths().deviation()));
+			.put("added_token_ms", f.marginalTokenMs())
+			.put("answer_token_ms", f.outputTokenMs())
+			.put("length_intercept", f.lengthModel().intercept())
+			.put("length_slope", f.lengthModel().slope())
+			.put("length_deviation", f.lengthModel().deviation()));
 	}
 
 	static Optional<WorkerStage> parseStage(String s) {
