--- a/src/main/java/io/shallotspur/platform/ConfigDecoder.java
+++ b/src/main/java/io/shallotspur/platform/ConfigDecoder.java
@@ -38,7 +38,8 @@
 
 	static RouteTable decode(JsonNode n) throws InputException {
 		if (!n.path("version").isIntegralNumber() || !n.path("routes").isArray() || !n.path("services").isArray()) {
-			throw new InputException("The configuration is missing its version, routes or services.", PlatformNames.CONFIG_KEY);
+			throw new InputException("The configuration is missing its version, routes or services.",
+					PlatformNames.CONFIG_KEY);
 		}
 		List<Route> routes = new ArrayList<>();
 		for (JsonNode r : n.path("routes")) {
--- a/src/main/java/io/shallotspur/platform/HttpCallerResponse.java
+++ b/src/main/java/io/shallotspur/platform/HttpCallerResponse.java
@@ -24,8 +24,8 @@
  * The HTTP response to one caller. Confined to the event loop.
  * <p>
  * Invariant: a chunked response gets its final chunk only from {@link #complete}.
- * {@link #abort} closes the connection without it, so the caller sees that the
- * response is incomplete.
+ * {@link #abort} closes the connection without it, so the caller sees that the response
+ * is incomplete.
  */
 final class HttpCallerResponse implements CallerResponse {
 
--- a/src/main/java/io/shallotspur/platform/HttpWorkerPort.java
+++ b/src/main/java/io/shallotspur/platform/HttpWorkerPort.java
@@ -23,20 +23,20 @@
 import reactor.netty.http.client.HttpClientResponse;
 import reactor.netty.resources.ConnectionProvider;
 
-import io.shallotspur.gateway.ResponseHead;
-import io.shallotspur.gateway.ResponseAuthenticity;
 import io.shallotspur.gateway.Exchange;
 import io.shallotspur.gateway.ExchangeFailure;
 import io.shallotspur.gateway.ExchangeListener;
-import io.shallotspur.gateway.ReservationListener;
 import io.shallotspur.gateway.KvSource;
 import io.shallotspur.gateway.PrefillListener;
 import io.shallotspur.gateway.RelayRequest;
+import io.shallotspur.gateway.ReservationListener;
+import io.shallotspur.gateway.ResponseAuthenticity;
+import io.shallotspur.gateway.ResponseHead;
 import io.shallotspur.gateway.WorkerCall;
 import io.shallotspur.gateway.WorkerInfo;
-import io.shallotspur.gateway.WorkerStatus;
 import io.shallotspur.gateway.WorkerPort;
 import io.shallotspur.gateway.WorkerStage;
+import io.shallotspur.gateway.WorkerStatus;
 
 /**
  * Calls workers over the platform's HTTP protocol. Confined to the event loop.
@@ -154,7 +154,7 @@
 		// own.
 		boolean complete = !handle.isEmpty() && head.authenticity() != ResponseAuthenticity.MISMATCHED;
 		return new PrefillResponse(head, handle,
-				complete ? ResponseHeadDecoder.loadAndLimit(r.responseHeaders(), true) : head.workerStatus());
+				complete ? ResponseHeadDecoder.workerStatus(r.responseHeaders(), true) : head.workerStatus());
 	}
 
 	private static String kvHandle(ResponseHead head, byte[] body) {
@@ -171,7 +171,7 @@
 	}
 
 	private static void notifyListener(PrefillResponse p, PrefillListener listener) {
-		listener.onStatus(p.loadAndLimit());
+		listener.onStatus(p.workerStatus());
 		String status = "status " + p.head().status();
 		if (!p.handle().isEmpty() && p.head().authenticity() != ResponseAuthenticity.MISMATCHED) {
 			listener.onReady(p.handle());
@@ -190,8 +190,8 @@
 	}
 
 	@Override
-	public void cancelReservation(WorkerInfo worker, String hold) {
-		delete(worker, PlatformNames.RELEASE_PATH + hold);
+	public void cancelReservation(WorkerInfo worker, String reservation) {
+		delete(worker, PlatformNames.RELEASE_PATH + reservation);
 	}
 
 	private void delete(WorkerInfo worker, String path) {
@@ -217,9 +217,9 @@
 	private static ReservationResponse reservationResponse(HttpClientResponse r, byte[] body) {
 		int status = r.status().code();
 		boolean otherIncarnation = status == ResponseHeadDecoder.MISDIRECTED;
-		WorkerStatus loadAndLimit = otherIncarnation ? WorkerStatus.NONE
-				: ResponseHeadDecoder.loadAndLimit(r.responseHeaders(), false);
-		return new ReservationResponse(status, reservationId(status, body), loadAndLimit);
+		WorkerStatus workerStatus = otherIncarnation ? WorkerStatus.NONE
+				: ResponseHeadDecoder.workerStatus(r.responseHeaders(), false);
+		return new ReservationResponse(status, reservationId(status, body), workerStatus);
 	}
 
 	private static Optional<String> reservationId(int status, byte[] body) {
@@ -234,7 +234,7 @@
 	}
 
 	private static void notifyListener(ReservationResponse a, ReservationListener listener) {
-		listener.onStatus(a.loadAndLimit());
+		listener.onStatus(a.workerStatus());
 		if (a.reservation().isPresent()) {
 			listener.onReserved(a.reservation().get());
 		}
@@ -300,14 +300,14 @@
 	/**
 	 * A worker's response to a reservation call.
 	 */
-	private record ReservationResponse(int status, Optional<String> reservation, WorkerStatus loadAndLimit) {
+	private record ReservationResponse(int status, Optional<String> reservation, WorkerStatus workerStatus) {
 
 	}
 
 	/**
 	 * A worker's response to a prefill request.
 	 */
-	private record PrefillResponse(ResponseHead head, String handle, WorkerStatus loadAndLimit) {
+	private record PrefillResponse(ResponseHead head, String handle, WorkerStatus workerStatus) {
 
 	}
 
--- a/src/main/java/io/shallotspur/platform/PlatformSettings.java
+++ b/src/main/java/io/shallotspur/platform/PlatformSettings.java
@@ -24,13 +24,13 @@
  * @param store address of the platform's store
  * @param locateTtlMs how long callers may cache addresses, in milliseconds
  * @param graceMs how long the process may run after SIGTERM, in milliseconds
- * @param changeBounds how soon registry changes must take effect
+ * @param changeDeadlines how soon registry changes must take effect
  * @param orders settings of stage orders to workers
  * @param log log level and rate limit
  */
 record PlatformSettings(GatewaySettings gateway, String region, double cores, Endpoint callers, Endpoint readiness,
-		Endpoint locate, Endpoint metrics, Endpoint store, long locateTtlMs, long graceMs, ChangeDeadlines changeBounds,
-		OrderSettings orders, LogSettings log) {
+		Endpoint locate, Endpoint metrics, Endpoint store, long locateTtlMs, long graceMs,
+		ChangeDeadlines changeDeadlines, OrderSettings orders, LogSettings log) {
 
 	private static final long HOUR_MS = 3_600_000;
 
--- a/src/main/java/io/shallotspur/platform/PlatformVm.java
+++ b/src/main/java/io/shallotspur/platform/PlatformVm.java
@@ -58,13 +58,13 @@
 
 	private final Gateway gateway;
 
-	private final RegistryWatcher follower;
+	private final RegistryWatcher watcher;
 
 	private final VmRegistration registration;
 
 	private final StageKeeper stages;
 
-	private final SharedEngineStats figures;
+	private final SharedEngineStats engineStats;
 
 	private final VmLoadSampler loadSampler;
 
@@ -90,22 +90,22 @@
 		EntryVm self = new EntryVm(PlatformNames.VM_PREFIX + s.callers() + "/" + incarnation, s.callers().toString(),
 				s.region(), s.gateway().hall(), s.cores(), false);
 		this.registration = new VmRegistration(registry, self, this.loop);
-		this.follower = new RegistryWatcher(registry, this.gateway, this.loop, this.clock,
-				() -> ThreadLocalRandom.current().nextDouble(), s.changeBounds());
-		this.follower.setOwnRegistration(self.key(), this.registration::start);
-		this.registration.setNoAnswerListener(this.follower::onCallUnanswered);
-		Leadership duty = new Leadership(registry, this.registration, this.gateway.entryVms(), self.key(), s.orders().takeoverDelayMs(),
-				this.clock);
-		this.follower.setLeadership(duty);
-		this.stages = new StageKeeper(s.gateway().vmName(), this.gateway, duty,
+		this.watcher = new RegistryWatcher(registry, this.gateway, this.loop, this.clock,
+				() -> ThreadLocalRandom.current().nextDouble(), s.changeDeadlines());
+		this.watcher.setOwnRegistration(self.key(), this.registration::start);
+		this.registration.setNoAnswerListener(this.watcher::onCallUnanswered);
+		Leadership leadership = new Leadership(registry, this.registration, this.gateway.entryVms(), self.key(),
+				s.orders().takeoverDelayMs(), this.clock);
+		this.watcher.setLeadership(leadership);
+		this.stages = new StageKeeper(s.gateway().vmName(), this.gateway, leadership,
 				new HttpStagePort(workers.controlClient(), this.loop), this.loop, this.clock,
-				s.changeBounds().propagationMs());
-		this.figures = new SharedEngineStats(registry, this.gateway, this.loop,
+				s.changeDeadlines().propagationMs());
+		this.engineStats = new SharedEngineStats(registry, this.gateway, this.loop,
 				() -> ThreadLocalRandom.current().nextDouble());
-		this.follower.setSharedStats(this.figures);
-		this.follower.setStaleDataListener(reader::onStoreRestored);
-		this.follower.addRestoreListener(this.registration::onStoreRestored);
-		this.follower.addRestoreListener((ms) -> this.metrics.registry().counter("store.restored").inc());
+		this.watcher.setSharedStats(this.engineStats);
+		this.watcher.setStaleDataListener(reader::onStoreRestored);
+		this.watcher.addRestoreListener(this.registration::onStoreRestored);
+		this.watcher.addRestoreListener((ms) -> this.metrics.registry().counter("store.restored").inc());
 		this.metrics.registry().gauge("store.era", () -> registry::era);
 		this.loadSampler = new VmLoadSampler(this.loop, this.clock, this.gateway::inProgress,
 				this.registration::setCrowded);
@@ -128,18 +128,19 @@
 	}
 
 	private Flux<DisposableServer> bindSockets() {
-		ControlServers c = new ControlServers(this.loop, this.gateway.entryVms(), this.clock, this.settings.locateTtlMs());
+		ControlServers c = new ControlServers(this.loop, this.gateway.entryVms(), this.clock,
+				this.settings.locateTtlMs());
 		return Flux
 			.just(this.ingress.bind(), c.readiness(this.settings.readiness(), this::ready),
-					c.locate(this.settings.locate(), () -> this.follower.initialized() && !this.draining),
+					c.locate(this.settings.locate(), () -> this.watcher.initialized() && !this.draining),
 					c.metrics(this.settings.metrics(), this.metrics::scrape))
 			.concatMap((bind) -> BindRetry.withRetry(bind, this.loop.scheduler()));
 	}
 
 	private void onBound() {
-		this.follower.start();
+		this.watcher.start();
 		this.registration.start();
-		this.figures.start();
+		this.engineStats.start();
 		this.loadSampler.start();
 		this.gateway.startClockSampling();
 		if (this.settings.orders().fenced()) {
@@ -151,13 +152,13 @@
 	}
 
 	private boolean ready() {
-		return !this.draining && this.follower.initialized() && this.gateway.routeTable().isPresent();
+		return !this.draining && this.watcher.initialized() && this.gateway.routeTable().isPresent();
 	}
 
 	/**
 	 * Drains this VM: stops reporting ready and being returned by lookups, serves late
-	 * arrivals, waits for requests in progress until the end of the grace period and closes
-	 * all sockets.
+	 * arrivals, waits for requests in progress until the end of the grace period and
+	 * closes all sockets.
 	 */
 	void drain() {
 		long start = this.clock.getAsLong();
@@ -172,7 +173,7 @@
 		// do not learn that this one is leaving, and a newly started VM has no
 		// configuration.
 		while (this.clock.getAsLong() < drainDeadline - ACCEPT_STOP_MARGIN_MS
-				&& (this.gateway.inProgress() > 0 || this.follower.storeUnavailable())) {
+				&& (this.gateway.inProgress() > 0 || this.watcher.storeUnavailable())) {
 			sleep(DRAIN_POLL_MS);
 		}
 		this.servers.get(0).dispose();
@@ -193,10 +194,10 @@
 			return;
 		}
 		this.loop.execute(this.stages::stop);
-		this.loop.execute(this.figures::stop);
+		this.loop.execute(this.engineStats::stop);
 		this.loop.execute(this.loadSampler::stop);
 		this.loop.execute(this.gateway::stopClockSampling);
-		this.loop.execute(this.follower::stop);
+		this.loop.execute(this.watcher::stop);
 		this.servers.forEach((s) -> s.dispose());
 		this.loop.close();
 	}
--- a/src/main/java/io/shallotspur/platform/ResponseHeadDecoder.java
+++ b/src/main/java/io/shallotspur/platform/ResponseHeadDecoder.java
@@ -6,9 +6,9 @@
 import org.jspecify.annotations.Nullable;
 import org.tinylog.Logger;
 
-import io.shallotspur.gateway.ResponseHead;
-import io.shallotspur.gateway.ResponseAuthenticity;
 import io.shallotspur.gateway.LoadReport;
+import io.shallotspur.gateway.ResponseAuthenticity;
+import io.shallotspur.gateway.ResponseHead;
 import io.shallotspur.gateway.WorkerRateLimit;
 import io.shallotspur.gateway.WorkerStatus;
 
@@ -28,13 +28,14 @@
 	static ResponseHead head(String requestId, int status, HttpHeaders h) {
 		boolean otherIncarnation = status == MISDIRECTED;
 		boolean notExecuted = h.contains(PlatformNames.NOT_EXECUTED) || otherIncarnation;
-		ResponseAuthenticity origin = origin(requestId, h);
+		ResponseAuthenticity authenticity = authenticity(requestId, h);
 		// The load and limit headers describe this worker only if the response comes from
 		// the expected incarnation and answers this request.
-		boolean complete = origin == ResponseAuthenticity.SIGNED && HttpStatusClass.SUCCESS.contains(status);
-		WorkerStatus news = (otherIncarnation || origin == ResponseAuthenticity.MISMATCHED) ? WorkerStatus.NONE
-				: loadAndLimit(h, complete);
-		return new ResponseHead(status, PlatformNames.forwardedHeaders(h), origin, notExecuted, otherIncarnation, news);
+		boolean complete = authenticity == ResponseAuthenticity.SIGNED && HttpStatusClass.SUCCESS.contains(status);
+		WorkerStatus workerStatus = (otherIncarnation || authenticity == ResponseAuthenticity.MISMATCHED)
+				? WorkerStatus.NONE : workerStatus(h, complete);
+		return new ResponseHead(status, PlatformNames.forwardedHeaders(h), authenticity, notExecuted, otherIncarnation,
+				workerStatus);
 	}
 
 	/**
@@ -44,7 +45,7 @@
 	 * that a missing limit means that the worker has none
 	 * @return the load and limit; {@code null} for each that is not reported
 	 */
-	static WorkerStatus loadAndLimit(HttpHeaders h, boolean complete) {
+	static WorkerStatus workerStatus(HttpHeaders h, boolean complete) {
 		return new WorkerStatus(load(h.get(PlatformNames.LOAD)), limit(h.get(PlatformNames.RATE_LIMIT), complete));
 	}
 
@@ -65,7 +66,7 @@
 		return null;
 	}
 
-	private static ResponseAuthenticity origin(String requestId, HttpHeaders h) {
+	private static ResponseAuthenticity authenticity(String requestId, HttpHeaders h) {
 		String echoed = h.get(PlatformNames.REQUEST_ID);
 		// A late response to an earlier request on the same connection can only be
 		// detected by its id. Requests never ask for a content encoding, so an encoded
@@ -74,7 +75,8 @@
 		if (otherRequest || h.contains(HttpHeaderNames.CONTENT_ENCODING)) {
 			return ResponseAuthenticity.MISMATCHED;
 		}
-		return (echoed != null && h.contains(PlatformNames.SIGNATURE)) ? ResponseAuthenticity.SIGNED : ResponseAuthenticity.UNSIGNED;
+		return (echoed != null && h.contains(PlatformNames.SIGNATURE)) ? ResponseAuthenticity.SIGNED
+				: ResponseAuthenticity.UNSIGNED;
 	}
 
 	private static @Nullable LoadReport load(@Nullable String v) {
--- a/src/main/java/io/shallotspur/platform/StoreEntryCodec.java
+++ b/src/main/java/io/shallotspur/platform/StoreEntryCodec.java
@@ -39,8 +39,8 @@
 	 * Decodes an item or an event.
 	 * @param item the item or event
 	 * @param era the era of the store that sent it
-	 * @return the change, {@link RegistryChange.EntryUnreadable} if the entry is malformed, or
-	 * empty if the key is not used by entry VMs
+	 * @return the change, {@link RegistryChange.EntryUnreadable} if the entry is
+	 * malformed, or empty if the key is not used by entry VMs
 	 */
 	static Optional<RegistryChange> decode(JsonNode item, long era) {
 		String key = item.path("key").asText();
@@ -66,7 +66,7 @@
 			return Optional.of(deleted ? new RegistryChange.VmRemoved(key) : vm(key, value(item)));
 		}
 		if (key.equals(PlatformNames.STAGE_LEADER_KEY)) {
-			return Optional.of(deleted ? new RegistryChange.LeadershipVacant() : duty(item, era));
+			return Optional.of(deleted ? new RegistryChange.LeadershipVacant() : leader(item, era));
 		}
 		if (key.startsWith(PlatformNames.STAGE_CHANGE_PREFIX)) {
 			String id = key.substring(PlatformNames.STAGE_CHANGE_PREFIX.length());
@@ -75,7 +75,8 @@
 		}
 		if (key.startsWith(PlatformNames.ENGINE_STATS_PREFIX) && !deleted) {
 			String upstream = key.substring(PlatformNames.ENGINE_STATS_PREFIX.length());
-			return Optional.of(new RegistryChange.EngineStatsUpdated(upstream, figures(key, value(item)), point(item, era)));
+			return Optional.of(new RegistryChange.EngineStatsUpdated(upstream, engineStats(key, value(item)),
+					position(item, era)));
 		}
 		if (key.equals(PlatformNames.SETTLED_ERA_KEY) && !deleted) {
 			return Optional
@@ -118,20 +119,21 @@
 		WorkerStage stage = f.has("stage") ? parseStage(f.text("stage")).orElseThrow(() -> f.invalidField("stage"))
 				: WorkerStage.PLAIN;
 		long startedAt = f.has(PlatformNames.STARTED_AT) ? f.nonNegativeLong(PlatformNames.STARTED_AT) : 0;
-		return new RegistryChange.WorkerUpdated(new WorkerInfo(id, f.text("service"), e.host(), e.port(), f.text("zone"),
-				f.positiveInt("slots"), stage, draining, f.nonNegativeLong("cold_remaining_ms"), startedAt));
+		return new RegistryChange.WorkerUpdated(
+				new WorkerInfo(id, f.text("service"), e.host(), e.port(), f.text("zone"), f.positiveInt("slots"), stage,
+						draining, f.nonNegativeLong("cold_remaining_ms"), startedAt));
 	}
 
-	static RegistryChange.LeaderElected duty(JsonNode item, long era) throws InputException {
+	static RegistryChange.LeaderElected leader(JsonNode item, long era) throws InputException {
 		StoreEntryFields f = new StoreEntryFields(value(item), PlatformNames.STAGE_LEADER_KEY);
-		return new RegistryChange.LeaderElected(f.text("vm"), point(item, era));
+		return new RegistryChange.LeaderElected(f.text("vm"), position(item, era));
 	}
 
-	static StorePosition point(JsonNode item, long era) {
+	static StorePosition position(JsonNode item, long era) {
 		return new StorePosition(era, item.path("revision").asLong());
 	}
 
-	private static EngineStatistics figures(String key, JsonNode v) throws InputException {
+	private static EngineStatistics engineStats(String key, JsonNode v) throws InputException {
 		StoreEntryFields f = new StoreEntryFields(v, key);
 		return new EngineStatistics(f.positiveInt("samples"), f.positiveDouble("prompt_tokens"),
 				f.positiveDouble("answer_tokens"), f.positiveDouble("reserved_tokens"),
--- a/src/main/java/io/shallotspur/platform/StoreRegistry.java
+++ b/src/main/java/io/shallotspur/platform/StoreRegistry.java
@@ -102,12 +102,12 @@
 			}
 			// Pages are not read from one consistent snapshot, so the watch starts at the
 			// revision of the first page and repeats any later changes.
-			StorePosition point = (first != null) ? first
+			StorePosition position = (first != null) ? first
 					: new StorePosition(r.era(), r.body().path("store_revision").asLong());
 			if (r.body().path("truncated").asBoolean() && !last.isEmpty()) {
-				return readPage(last, collected, point);
+				return readPage(last, collected, position);
 			}
-			return Mono.just(new RegistryUpdate(point, collected));
+			return Mono.just(new RegistryUpdate(position, collected));
 		});
 	}
 
@@ -147,7 +147,7 @@
 	// The decoded configuration is cached: it is read repeatedly while unchanged, and a
 	// large one takes some time to decode.
 	private RouteTable configuration(JsonNode item, long era) throws InputException {
-		StorePosition p = StoreEntryCodec.point(item, era);
+		StorePosition p = StoreEntryCodec.position(item, era);
 		RouteTable t = this.configuration;
 		if (t == null || !p.equals(this.decodedAt)) {
 			t = StoreEntryCodec.configuration(item);
@@ -207,7 +207,7 @@
 			if (r.status() != OK) {
 				return Mono.error(unexpectedStatus(r, "key"));
 			}
-			return Mono.fromCallable(() -> Optional.of(StoreEntryCodec.duty(r.body(), r.era())));
+			return Mono.fromCallable(() -> Optional.of(StoreEntryCodec.leader(r.body(), r.era())));
 		});
 	}
 
@@ -224,14 +224,14 @@
 	}
 
 	@Override
-	public Mono<Boolean> publishStats(String upstream, EngineStatistics figures, StorePosition before) {
+	public Mono<Boolean> publishStats(String upstream, EngineStatistics stats, StorePosition before) {
 		if (!before.equals(StorePosition.NONE) && before.era() != this.client.era()) {
 			return Mono.just(false);
 		}
 		String key = PlatformNames.ENGINE_STATS_PREFIX + upstream;
 		ObjectNode body = newTransaction();
 		addExpectation(body, key, before.revision());
-		addPut(body, key, StoreEntryCodec.encode(figures), NO_LEASE);
+		addPut(body, key, StoreEntryCodec.encode(stats), NO_LEASE);
 		return transact(body, "tell");
 	}
 
--- a/src/test/java/io/shallotspur/platform/ResponseHeadDecoderTests.java
+++ b/src/test/java/io/shallotspur/platform/ResponseHeadDecoderTests.java
@@ -43,7 +43,8 @@
 		Assertions.assertThat(head(500, signed()).workerStatus().limit()).isNull();
 		HttpHeaders h = new DefaultHttpHeaders().add("X-Request-Id", "r1").add("X-Not-Executed", "1");
 		Assertions.assertThat(head(503, h).workerStatus().limit()).isNull();
-		Assertions.assertThat(head(503, h.add("Server-Limit", "2.5")).workerStatus().limit()).isEqualTo(new WorkerRateLimit(2.5));
+		Assertions.assertThat(head(503, h.add("Server-Limit", "2.5")).workerStatus().limit())
+			.isEqualTo(new WorkerRateLimit(2.5));
 	}
 
 	// A response from another worker at the address, or to an earlier request, must
--- a/src/test/java/io/shallotspur/platform/StoreEntryCodecTests.java
+++ b/src/test/java/io/shallotspur/platform/StoreEntryCodecTests.java
@@ -92,7 +92,8 @@
 	void rejectsWorkerWithInvalidValues(String change) {
 		int i = change.indexOf(':');
 		ObjectNode n = validWorker().put(change.substring(0, i), change.substring(i + 1));
-		Assertions.assertThat(decodeWorker(n.toString()).orElseThrow()).isInstanceOf(RegistryChange.EntryUnreadable.class);
+		Assertions.assertThat(decodeWorker(n.toString()).orElseThrow())
+			.isInstanceOf(RegistryChange.EntryUnreadable.class);
 	}
 
 	@Test
--- a/src/test/java/io/shallotspur/platform/StoreRegistryTests.java
+++ b/src/test/java/io/shallotspur/platform/StoreRegistryTests.java
@@ -55,8 +55,10 @@
 	void marksWorkersOnlyForTheStageLeader() {
 		this.registry.claimLeadership("vms/a", LEASE).block();
 		StorePosition other = new StorePosition(fence().era(), fence().revision() - 1);
-		Assertions.assertThat(this.registry.announceStageChange("w1", WorkerStage.DECODE, other, LEASE).block()).isFalse();
-		Assertions.assertThat(this.registry.announceStageChange("w1", WorkerStage.DECODE, fence(), LEASE).block()).isTrue();
+		Assertions.assertThat(this.registry.announceStageChange("w1", WorkerStage.DECODE, other, LEASE).block())
+			.isFalse();
+		Assertions.assertThat(this.registry.announceStageChange("w1", WorkerStage.DECODE, fence(), LEASE).block())
+			.isTrue();
 		Assertions.assertThat(this.registry.list().block().changes())
 			.contains(new RegistryChange.StageChangeAnnounced("w1", WorkerStage.DECODE));
 	}
@@ -72,8 +74,8 @@
 		List<RegistryChange> l = this.registry.watch(before.position(), 0).block().changes();
 		Assertions.assertThat(l)
 			.containsExactly(new RegistryChange.LeaderElected("vms/a", fence),
-					new RegistryChange.StageChangeAnnounced("w1", WorkerStage.PREFILL), new RegistryChange.StageChangeWithdrawn("w1"),
-					new RegistryChange.LeadershipVacant());
+					new RegistryChange.StageChangeAnnounced("w1", WorkerStage.PREFILL),
+					new RegistryChange.StageChangeWithdrawn("w1"), new RegistryChange.LeadershipVacant());
 	}
 
 	// Two VMs publish statistics at the same time. The second must not overwrite those of
@@ -83,7 +85,10 @@
 		EngineStatistics f = new EngineStatistics(4, 3_000, 500, 3_800, 0.03, 0.03, 7, OutputLengthModel.PRIOR);
 		Assertions.assertThat(this.registry.publishStats("llm", f, StorePosition.NONE).block()).isTrue();
 		Assertions.assertThat(this.registry.publishStats("llm", f, StorePosition.NONE).block()).isFalse();
-		RegistryChange.EngineStatsUpdated seen = (RegistryChange.EngineStatsUpdated) this.registry.list().block().changes().get(0);
+		RegistryChange.EngineStatsUpdated seen = (RegistryChange.EngineStatsUpdated) this.registry.list()
+			.block()
+			.changes()
+			.get(0);
 		Assertions.assertThat(seen.stats()).isEqualTo(f);
 		Assertions.assertThat(this.registry.publishStats("llm", f, seen.position()).block()).isTrue();
 	}
@@ -131,7 +136,8 @@
 		this.registry.claimLeadership("vms/b", LEASE).block();
 		Assertions.assertThat(fence().revision()).isEqualTo(fence.revision());
 		Assertions.assertThat(fence().fencingToken()).isGreaterThan(fence.fencingToken());
-		Assertions.assertThat(this.registry.announceStageChange("w1", WorkerStage.DECODE, fence, LEASE).block()).isFalse();
+		Assertions.assertThat(this.registry.announceStageChange("w1", WorkerStage.DECODE, fence, LEASE).block())
+			.isFalse();
 		Assertions.assertThat(this.store.hasKeyWithPrefix(PlatformNames.STAGE_CHANGE_PREFIX)).isFalse();
 	}
 
