--- a/src/main/java/io/shallotspur/platform/PlatformVm.java
+++ b/src/main/java/io/shallotspur/platform/PlatformVm.java
@@ -28,20 +28,21 @@
 import io.shallotspur.stage.StageKeeper;
 
 /**
- * One entry VM on the platform: wires the gateway to its adapters, starts and drains
- * them. {@link #start} and {@link #drain} are called by one thread.
+ * One entry VM on the platform: connects the gateway to its adapters, starts and drains
+ * them. {@link #start} and {@link #drain} must be called from the same thread.
  */
 final class PlatformVm {
 
-	// Callers keep an address for a few seconds after this VM has left the answers; those
-	// who come meanwhile are served, ms.
-	private static final long LATE_CALLERS_MS = 3_000;
+	// In ms. Callers cache this VM's address for a few seconds after lookups stop
+	// returning it; requests that arrive in that time are still served.
+	private static final long LATE_REQUEST_WINDOW_MS = 3_000;
 
-	// The process is gone this long before it would be killed, ms.
-	private static final long GRACE_MARGIN_MS = 400;
+	// In ms. The process exits this long before it would be killed.
+	private static final long EXIT_MARGIN_MS = 400;
 
-	// Nobody is let in any more this long before the end, ms: a refusal takes a few ms.
-	private static final long LAST_REFUSAL_MS = 300;
+	// In ms. New connections are no longer accepted this long before the exit; refusing a
+	// request takes a few ms.
+	private static final long ACCEPT_STOP_MARGIN_MS = 300;
 
 	private static final long DRAIN_POLL_MS = 50;
 
@@ -49,28 +50,29 @@
 
 	private final LongSupplier clock = () -> TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
 
-	private final Loop loop = new Loop();
+	private final VmEventLoop loop = new VmEventLoop();
 
-	// Routes stand where the metrics know customers; none has series of its own.
+	// The platform's metrics have routes in place of customers, and no route gets a time
+	// series of its own.
 	private final NodeMetrics metrics = new NodeMetrics(0);
 
 	private final Gateway gateway;
 
-	private final RegistryWatcher follower;
+	private final RegistryWatcher watcher;
 
 	private final VmRegistration registration;
 
 	private final StageKeeper stages;
 
-	private final SharedEngineStats figures;
+	private final SharedEngineStats engineStats;
 
-	private final VmLoadSampler load;
+	private final VmLoadSampler loadSampler;
 
 	private final CallerIngress ingress;
 
 	private final List<DisposableServer> servers = new ArrayList<>();
 
-	private volatile boolean leaving;
+	private volatile boolean draining;
 
 	private final AtomicBoolean closed = new AtomicBoolean();
 
@@ -85,57 +87,61 @@
 		ConfigReader reader = new ConfigReader(registry, this.gateway);
 		this.gateway.setConfigSource(reader);
 		String incarnation = Long.toHexString(ThreadLocalRandom.current().nextLong());
-		EntryVm self = new EntryVm(Names.VM_PREFIX + s.callers() + "/" + incarnation, s.callers().toString(),
+		EntryVm self = new EntryVm(PlatformNames.VM_PREFIX + s.callers() + "/" + incarnation, s.callers().toString(),
 				s.region(), s.gateway().hall(), s.cores(), false);
 		this.registration = new VmRegistration(registry, self, this.loop);
-		this.follower = new RegistryWatcher(registry, this.gateway, this.loop, this.clock,
-				() -> ThreadLocalRandom.current().nextDouble(), s.changes());
-		this.follower.setOwnRegistration(self.key(), this.registration::start);
-		this.registration.setNoAnswerListener(this.follower::onCallUnanswered);
-		Leadership duty = new Leadership(registry, this.registration, this.gateway.entryVms(), self.key(), s.orders().turnMs(),
-				this.clock);
-		this.follower.setLeadership(duty);
-		this.stages = new StageKeeper(s.gateway().vmName(), this.gateway, duty,
-				new HttpStagePort(workers.side(), this.loop), this.loop, this.clock, s.changes().propagationMs());
-		this.figures = new SharedEngineStats(registry, this.gateway, this.loop,
+		this.watcher = new RegistryWatcher(registry, this.gateway, this.loop, this.clock,
+				() -> ThreadLocalRandom.current().nextDouble(), s.changeDeadlines());
+		this.watcher.setOwnRegistration(self.key(), this.registration::start);
+		this.registration.setNoAnswerListener(this.watcher::onCallUnanswered);
+		Leadership leadership = new Leadership(registry, this.registration, this.gateway.entryVms(), self.key(),
+				s.orders().takeoverDelayMs(), this.clock);
+		this.watcher.setLeadership(leadership);
+		this.stages = new StageKeeper(s.gateway().vmName(), this.gateway, leadership,
+				new HttpStagePort(workers.controlClient(), this.loop), this.loop, this.clock,
+				s.changeDeadlines().propagationMs());
+		this.engineStats = new SharedEngineStats(registry, this.gateway, this.loop,
 				() -> ThreadLocalRandom.current().nextDouble());
-		this.follower.setSharedStats(this.figures);
-		this.follower.setStaleDataListener(reader::onStoreRestored);
-		this.follower.addRestoreListener(this.registration::onStoreRestored);
-		this.follower.addRestoreListener((ms) -> this.metrics.registry().counter("store.restored").inc());
+		this.watcher.setSharedStats(this.engineStats);
+		this.watcher.setStaleDataListener(reader::onStoreRestored);
+		this.watcher.addRestoreListener(this.registration::onStoreRestored);
+		this.watcher.addRestoreListener((ms) -> this.metrics.registry().counter("store.restored").inc());
 		this.metrics.registry().gauge("store.era", () -> registry::era);
-		this.load = new VmLoadSampler(this.loop, this.clock, this.gateway::inProgress, this.registration::setCrowded);
+		this.loadSampler = new VmLoadSampler(this.loop, this.clock, this.gateway::inProgress,
+				this.registration::setCrowded);
 		this.gateway.entryVms().registerSelf(self);
 		this.ingress = new CallerIngress(s.callers(), this.loop, this.gateway);
 	}
 
 	/**
-	 * Opens all sockets and begins to follow the store.
+	 * Binds all sockets and starts to watch the store.
 	 */
 	void start() {
-		// All of a start runs on the loop's thread. Two threads that load classes and
-		// read sockets at once only take turns on a part of a core.
-		Flux.defer(this::sockets)
+		// The whole startup runs on the event loop. With a fraction of a core, a second
+		// thread that loads classes while the loop reads sockets would only compete with
+		// it.
+		Flux.defer(this::bindSockets)
 			.subscribeOn(this.loop.scheduler())
 			.doOnNext(this.servers::add)
-			.then(Mono.fromRunnable(this::started))
+			.then(Mono.fromRunnable(this::onBound))
 			.block();
 	}
 
-	private Flux<DisposableServer> sockets() {
-		ControlServers c = new ControlServers(this.loop, this.gateway.entryVms(), this.clock, this.settings.locateTtlMs());
+	private Flux<DisposableServer> bindSockets() {
+		ControlServers c = new ControlServers(this.loop, this.gateway.entryVms(), this.clock,
+				this.settings.locateTtlMs());
 		return Flux
-			.just(this.ingress.bind(), c.ready(this.settings.ready(), this::ready),
-					c.locate(this.settings.locate(), () -> this.follower.initialized() && !this.leaving),
+			.just(this.ingress.bind(), c.readiness(this.settings.readiness(), this::ready),
+					c.locate(this.settings.locate(), () -> this.watcher.initialized() && !this.draining),
 					c.metrics(this.settings.metrics(), this.metrics::scrape))
-			.concatMap((bind) -> PatientBind.of(bind, this.loop.scheduler()));
+			.concatMap((bind) -> BindRetry.withRetry(bind, this.loop.scheduler()));
 	}
 
-	private void started() {
-		this.follower.start();
+	private void onBound() {
+		this.watcher.start();
 		this.registration.start();
-		this.figures.start();
-		this.load.start();
+		this.engineStats.start();
+		this.loadSampler.start();
 		this.gateway.startClockSampling();
 		if (this.settings.orders().fenced()) {
 			this.stages.start();
@@ -146,49 +152,52 @@
 	}
 
 	private boolean ready() {
-		return !this.leaving && this.follower.initialized() && this.gateway.routeTable().isPresent();
+		return !this.draining && this.watcher.initialized() && this.gateway.routeTable().isPresent();
 	}
 
 	/**
-	 * Leaves: is no longer ready nor in answers to callers, serves those who still come,
-	 * finishes what is in progress and returns.
+	 * Drains this VM: stops reporting ready and being returned by lookups, serves late
+	 * arrivals, waits for requests in progress until the end of the grace period and
+	 * closes all sockets.
 	 */
 	void drain() {
-		long begin = this.clock.getAsLong();
-		long end = begin + this.settings.graceMs() - GRACE_MARGIN_MS;
-		long late = begin + Math.min(LATE_CALLERS_MS, this.settings.graceMs() / 2);
+		long start = this.clock.getAsLong();
+		long drainDeadline = start + this.settings.graceMs() - EXIT_MARGIN_MS;
+		long lateDeadline = start + Math.min(LATE_REQUEST_WINDOW_MS, this.settings.graceMs() / 2);
 		Logger.info("[run] stopping in-progress={}", this.gateway.inProgress());
-		this.loop.execute(() -> leave(late, end));
-		pause(late - begin);
-		// Callers who still have this address would find nobody while the last streams go
-		// on here. Without the store they keep it, as no VM hears that this one leaves;
-		// and a VM that starts then knows no configuration. So it stays to the end.
-		while (this.clock.getAsLong() < end - LAST_REFUSAL_MS
-				&& (this.gateway.inProgress() > 0 || this.follower.storeUnavailable())) {
-			pause(DRAIN_POLL_MS);
+		this.loop.execute(() -> beginDrain(lateDeadline, drainDeadline));
+		sleep(lateDeadline - start);
+		// The listening socket stays open until just before the end. Callers with a
+		// cached address would otherwise be refused while the last streams still run
+		// here. While the store is unavailable they keep the address, because other VMs
+		// do not learn that this one is leaving, and a newly started VM has no
+		// configuration.
+		while (this.clock.getAsLong() < drainDeadline - ACCEPT_STOP_MARGIN_MS
+				&& (this.gateway.inProgress() > 0 || this.watcher.storeUnavailable())) {
+			sleep(DRAIN_POLL_MS);
 		}
 		this.servers.get(0).dispose();
 		this.loop.execute(this.ingress::closeIdle);
-		while (this.gateway.inProgress() > 0 && this.clock.getAsLong() < end) {
-			pause(DRAIN_POLL_MS);
+		while (this.gateway.inProgress() > 0 && this.clock.getAsLong() < drainDeadline) {
+			sleep(DRAIN_POLL_MS);
 		}
 		Logger.info("[run] stopped left-in-progress={}", this.gateway.inProgress());
 		close();
 	}
 
 	/**
-	 * Closes all sockets at once. A second call does nothing: a VM that has left has
-	 * closed by itself, and its event loop would reject what is handed to it.
+	 * Closes all sockets immediately. Further calls have no effect: a drained VM has
+	 * already closed itself, and its event loop would reject new tasks.
 	 */
 	void close() {
 		if (!this.closed.compareAndSet(false, true)) {
 			return;
 		}
 		this.loop.execute(this.stages::stop);
-		this.loop.execute(this.figures::stop);
-		this.loop.execute(this.load::stop);
+		this.loop.execute(this.engineStats::stop);
+		this.loop.execute(this.loadSampler::stop);
 		this.loop.execute(this.gateway::stopClockSampling);
-		this.loop.execute(this.follower::stop);
+		this.loop.execute(this.watcher::stop);
 		this.servers.forEach((s) -> s.dispose());
 		this.loop.close();
 	}
@@ -209,15 +218,15 @@
 		return this.servers.get(2).port();
 	}
 
-	private void leave(long late, long end) {
-		this.leaving = true;
-		this.gateway.drain(late, end);
+	private void beginDrain(long lateDeadline, long drainDeadline) {
+		this.draining = true;
+		this.gateway.drain(lateDeadline, drainDeadline);
 		this.stages.stop();
-		this.ingress.closeAfterAnswers();
-		this.registration.deregister().timeout(Duration.ofMillis(GRACE_MARGIN_MS)).onErrorComplete().subscribe();
+		this.ingress.closeAfterResponses();
+		this.registration.deregister().timeout(Duration.ofMillis(EXIT_MARGIN_MS)).onErrorComplete().subscribe();
 	}
 
-	private static void pause(long ms) {
+	private static void sleep(long ms) {
 		try {
 			TimeUnit.MILLISECONDS.sleep(ms);
 		}
--- /dev/null
+++ b/src/main/java/io/shallotspur/platform/ResponseHeadDecoder.java
@@ -0,0 +1,100 @@
+package io.shallotspur.platform;
+
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpHeaders;
+import io.netty.handler.codec.http.HttpStatusClass;
+import org.jspecify.annotations.Nullable;
+import org.tinylog.Logger;
+
+import io.shallotspur.gateway.LoadReport;
+import io.shallotspur.gateway.ResponseAuthenticity;
+import io.shallotspur.gateway.ResponseHead;
+import io.shallotspur.gateway.WorkerRateLimit;
+import io.shallotspur.gateway.WorkerStatus;
+
+/**
+ * Decodes the status and headers of a worker's response. Stateless.
+ */
+final class ResponseHeadDecoder {
+
+	/** HTTP 421: the address now belongs to another incarnation of the worker. */
+	static final int MISDIRECTED = 421;
+
+	private static final int MIN_LOAD_FIELDS = 3;
+
+	private ResponseHeadDecoder() {
+	}
+
+	static ResponseHead head(String requestId, int status, HttpHeaders h) {
+		boolean otherIncarnation = status == MISDIRECTED;
+		boolean notExecuted = h.contains(PlatformNames.NOT_EXECUTED) || otherIncarnation;
+		ResponseAuthenticity authenticity = authenticity(requestId, h);
+		// The load and limit headers describe this worker only if the response comes from
+		// the expected incarnation and answers this request.
+		boolean complete = authenticity == ResponseAuthenticity.SIGNED && HttpStatusClass.SUCCESS.contains(status);
+		WorkerStatus workerStatus = (otherIncarnation || authenticity == ResponseAuthenticity.MISMATCHED)
+				? WorkerStatus.NONE : workerStatus(h, complete);
+		return new ResponseHead(status, PlatformNames.forwardedHeaders(h), authenticity, notExecuted, otherIncarnation,
+				workerStatus);
+	}
+
+	/**
+	 * Decodes the load and the rate limit that a worker reports in its headers.
+	 * @param h the response headers
+	 * @param complete whether this kind of response has all of the worker's headers, so
+	 * that a missing limit means that the worker has none
+	 * @return the load and limit; {@code null} for each that is not reported
+	 */
+	static WorkerStatus workerStatus(HttpHeaders h, boolean complete) {
+		return new WorkerStatus(load(h.get(PlatformNames.LOAD)), limit(h.get(PlatformNames.RATE_LIMIT), complete));
+	}
+
+	private static @Nullable WorkerRateLimit limit(@Nullable String v, boolean complete) {
+		if (v == null) {
+			return complete ? WorkerRateLimit.UNLIMITED : null;
+		}
+		try {
+			double perSecond = Double.parseDouble(v.strip());
+			if (perSecond >= 0 && perSecond < Double.POSITIVE_INFINITY) {
+				return new WorkerRateLimit(perSecond);
+			}
+		}
+		catch (NumberFormatException ex) {
+			// Logged and ignored below, like a number that is not a valid rate.
+		}
+		Logger.info("[platform] invalid limit ignored seen=\"{}\"", v);
+		return null;
+	}
+
+	private static ResponseAuthenticity authenticity(String requestId, HttpHeaders h) {
+		String echoed = h.get(PlatformNames.REQUEST_ID);
+		// A late response to an earlier request on the same connection can only be
+		// detected by its id. Requests never ask for a content encoding, so an encoded
+		// body is not the worker's own response.
+		boolean otherRequest = echoed != null && !echoed.equals(requestId);
+		if (otherRequest || h.contains(HttpHeaderNames.CONTENT_ENCODING)) {
+			return ResponseAuthenticity.MISMATCHED;
+		}
+		return (echoed != null && h.contains(PlatformNames.SIGNATURE)) ? ResponseAuthenticity.SIGNED
+				: ResponseAuthenticity.UNSIGNED;
+	}
+
+	private static @Nullable LoadReport load(@Nullable String v) {
+		if (v == null) {
+			return null;
+		}
+		String[] p = v.split(",");
+		if (p.length < MIN_LOAD_FIELDS) {
+			return null;
+		}
+		try {
+			return new LoadReport(Integer.parseInt(p[0].strip()), Integer.parseInt(p[1].strip()),
+					Integer.parseInt(p[2].strip()));
+		}
+		catch (NumberFormatException ex) {
+			// A malformed report is ignored; the load is then estimated without it.
+			return null;
+		}
+	}
+
+}
--- a/src/test/java/io/shallotspur/platform/StoreRegistryTests.java
+++ b/src/test/java/io/shallotspur/platform/StoreRegistryTests.java
@@ -18,8 +18,8 @@
 import io.shallotspur.registry.StorePosition;
 
 /**
- * Tests of the duty and of announcements in {@link StoreRegistry}, against a stand-in for
- * the store.
+ * Tests of {@link StoreRegistry} against a fake store: the stage leader, stage changes,
+ * statistics and restores.
  */
 class StoreRegistryTests {
 
@@ -27,7 +27,7 @@
 
 	private final FakeStore store = new FakeStore();
 
-	private final Loop loop = new Loop();
+	private final VmEventLoop loop = new VmEventLoop();
 
 	private final StoreRegistry registry = new StoreRegistry(this.store.address(), this.loop);
 
@@ -41,10 +41,10 @@
 		return this.registry.readLeader().block().orElseThrow().electedAt();
 	}
 
-	// Two VMs ask for the duty in the same moment. Were it given to both, they would undo
-	// each other's orders.
+	// Two VMs claim the stage leader role at the same time. If both got it, they would
+	// revert each other's orders.
 	@Test
-	void givesTheDutyToOne() {
+	void onlyOneVmBecomesStageLeader() {
 		Assertions.assertThat(this.registry.readLeader().block()).isEmpty();
 		Assertions.assertThat(this.registry.claimLeadership("vms/a", LEASE).block()).isTrue();
 		Assertions.assertThat(this.registry.claimLeadership("vms/b", LEASE).block()).isFalse();
@@ -52,54 +52,59 @@
 	}
 
 	@Test
-	void announcesOnlyForTheHolder() {
+	void marksWorkersOnlyForTheStageLeader() {
 		this.registry.claimLeadership("vms/a", LEASE).block();
 		StorePosition other = new StorePosition(fence().era(), fence().revision() - 1);
-		Assertions.assertThat(this.registry.announceStageChange("w1", WorkerStage.DECODE, other, LEASE).block()).isFalse();
-		Assertions.assertThat(this.registry.announceStageChange("w1", WorkerStage.DECODE, fence(), LEASE).block()).isTrue();
+		Assertions.assertThat(this.registry.announceStageChange("w1", WorkerStage.DECODE, other, LEASE).block())
+			.isFalse();
+		Assertions.assertThat(this.registry.announceStageChange("w1", WorkerStage.DECODE, fence(), LEASE).block())
+			.isTrue();
 		Assertions.assertThat(this.registry.list().block().changes())
 			.contains(new RegistryChange.StageChangeAnnounced("w1", WorkerStage.DECODE));
 	}
 
 	@Test
-	void tellsOfDutyAndAnnouncements() {
+	void reportsLeaderAndStageChanges() {
 		RegistryUpdate before = this.registry.list().block();
 		this.registry.claimLeadership("vms/a", LEASE).block();
 		StorePosition fence = fence();
 		this.registry.announceStageChange("w1", WorkerStage.PREFILL, fence, LEASE).block();
 		this.registry.withdrawStageChange("w1").block();
-		this.store.remove(Names.DUTY_KEY);
+		this.store.remove(PlatformNames.STAGE_LEADER_KEY);
 		List<RegistryChange> l = this.registry.watch(before.position(), 0).block().changes();
 		Assertions.assertThat(l)
 			.containsExactly(new RegistryChange.LeaderElected("vms/a", fence),
-					new RegistryChange.StageChangeAnnounced("w1", WorkerStage.PREFILL), new RegistryChange.StageChangeWithdrawn("w1"),
-					new RegistryChange.LeadershipVacant());
+					new RegistryChange.StageChangeAnnounced("w1", WorkerStage.PREFILL),
+					new RegistryChange.StageChangeWithdrawn("w1"), new RegistryChange.LeadershipVacant());
 	}
 
-	// Two VMs tell of what they saw in the same moment; the second would overwrite what
-	// the first has told.
+	// Two VMs publish statistics at the same time. The second must not overwrite those of
+	// the first.
 	@Test
-	void tellsFiguresOnTopOfThoseThatAreKnown() {
+	void publishesStatisticsOnlyOverTheKnownRevision() {
 		EngineStatistics f = new EngineStatistics(4, 3_000, 500, 3_800, 0.03, 0.03, 7, OutputLengthModel.PRIOR);
 		Assertions.assertThat(this.registry.publishStats("llm", f, StorePosition.NONE).block()).isTrue();
 		Assertions.assertThat(this.registry.publishStats("llm", f, StorePosition.NONE).block()).isFalse();
-		RegistryChange.EngineStatsUpdated seen = (RegistryChange.EngineStatsUpdated) this.registry.list().block().changes().get(0);
+		RegistryChange.EngineStatsUpdated seen = (RegistryChange.EngineStatsUpdated) this.registry.list()
+			.block()
+			.changes()
+			.get(0);
 		Assertions.assertThat(seen.stats()).isEqualTo(f);
 		Assertions.assertThat(this.registry.publishStats("llm", f, seen.position()).block()).isTrue();
 	}
 
-	private List<Long> restores() {
+	private List<Long> observedRestores() {
 		List<Long> l = new CopyOnWriteArrayList<>();
 		this.registry.setRestoreListener(l::add);
 		return l;
 	}
 
 	@Test
-	void tellsThatTheStoreWasRestoredBeforeItsAnswerIsTaken() {
+	void reportsRestoreBeforeResponseIsDelivered() {
 		this.store.put("op/other", "{}");
 		this.store.takeSnapshot();
 		RegistryUpdate before = this.registry.list().block();
-		List<Long> restores = restores();
+		List<Long> restores = observedRestores();
 		this.store.put("op/other", "{}");
 		this.store.restoreSnapshot();
 		RegistryUpdate after = this.registry.list().block();
@@ -107,10 +112,10 @@
 		Assertions.assertThat(after.position().compareTo(before.position())).isPositive();
 	}
 
-	// Revisions are given out again. The watch goes on from one that the store has by now
-	// for something else, and what was written before it is never heard.
+	// A restored store assigns the same revisions again. A watch that continued from an
+	// old revision would miss the writes of the new era up to that revision.
 	@Test
-	void aWatchFromAnEarlierEraIsNotGoneOnWith() {
+	void watchFromEarlierEraFails() {
 		this.store.takeSnapshot();
 		this.store.put("op/a", "{}");
 		RegistryUpdate before = this.registry.list().block();
@@ -121,9 +126,9 @@
 			.hasCauseInstanceOf(StoreHistoryGoneException.class);
 	}
 
-	// The former holder's revision stands for another holder now.
+	// After the restore, another VM holds the role under the same revision.
 	@Test
-	void announcesNothingForAHolderOfAnEarlierEra() {
+	void doesNotMarkWorkersForLeaderOfEarlierEra() {
 		this.store.takeSnapshot();
 		this.registry.claimLeadership("vms/a", LEASE).block();
 		StorePosition fence = fence();
@@ -131,30 +136,31 @@
 		this.registry.claimLeadership("vms/b", LEASE).block();
 		Assertions.assertThat(fence().revision()).isEqualTo(fence.revision());
 		Assertions.assertThat(fence().fencingToken()).isGreaterThan(fence.fencingToken());
-		Assertions.assertThat(this.registry.announceStageChange("w1", WorkerStage.DECODE, fence, LEASE).block()).isFalse();
-		Assertions.assertThat(this.store.hasKeyWithPrefix(Names.STAGE_PREFIX)).isFalse();
+		Assertions.assertThat(this.registry.announceStageChange("w1", WorkerStage.DECODE, fence, LEASE).block())
+			.isFalse();
+		Assertions.assertThat(this.store.hasKeyWithPrefix(PlatformNames.STAGE_CHANGE_PREFIX)).isFalse();
 	}
 
-	// A lease was got in one era and its number is another VM's in the next: a
-	// registration under it would last as long as that VM does.
+	// A lease number from one era belongs to another VM in the next. A registration under
+	// it would last as long as that VM renews the lease.
 	@Test
-	void aWriteAcrossARestoreDoesNotCountAsDone() {
+	void writeAcrossRestoreCountsAsFailed() {
 		this.store.takeSnapshot();
 		long lease = this.registry.openLease(3_000).block();
 		this.store.restoreSnapshot();
-		this.store.reuseLease(lease);
+		this.store.reassignLease(lease);
 		EntryVm vm = new EntryVm("vms/a", "10.0.0.1:80", "region-1", "hall-a", 1, false);
 		Assertions.assertThat(this.registry.registerVm(vm, lease).block()).isFalse();
 	}
 
-	// A configuration of another content has the revision of the one that was decoded.
+	// After a restore, a different configuration has the same revision as the cached one.
 	@Test
-	void decodesAConfigurationAnewThatHasTheRevisionOfAnother() {
+	void decodesConfigurationAgainAfterRestoreToSameRevision() {
 		this.store.takeSnapshot();
-		this.store.put(Names.CONFIG_KEY, config(7));
+		this.store.put(PlatformNames.CONFIG_KEY, config(7));
 		Assertions.assertThat(this.registry.readConfiguration().block().version()).isEqualTo(7);
 		this.store.restoreSnapshot();
-		this.store.put(Names.CONFIG_KEY, config(8));
+		this.store.put(PlatformNames.CONFIG_KEY, config(8));
 		Assertions.assertThat(this.registry.readConfiguration().block().version()).isEqualTo(8);
 	}
 
@@ -164,18 +170,18 @@
 				"header_timeout_ms":3000,"idle_timeout_ms":15000}}""".formatted(version);
 	}
 
-	// An answer of before the return comes late, on another connection.
+	// A response from before the restore arrives late on another connection.
 	@Test
-	void dropsAnAnswerOfAnEarlierEra() {
-		this.store.era(5);
+	void dropsResponseFromEarlierEra() {
+		this.store.setEra(5);
 		this.registry.list().block();
-		this.store.era(4);
+		this.store.setEra(4);
 		Assertions.assertThatThrownBy(() -> this.registry.list().block())
 			.hasCauseInstanceOf(StoreUnavailableException.class);
 	}
 
 	@Test
-	void tellsThatAnEraHasSettled() {
+	void publishesSettledEra() {
 		this.registry.list().block();
 		Assertions.assertThat(this.registry.publishSettled(1).block()).isTrue();
 		Assertions.assertThat(this.registry.publishSettled(7).block()).isFalse();
