--- a/src/main/java/io/shallotspur/gateway/AdmittedRequest.java
+++ b/src/main/java/io/shallotspur/gateway/AdmittedRequest.java
@@ -15,7 +15,8 @@
  * @param customer whose it is, or {@code null} if callers need no key there
  * @param quotaCost what it has taken of the customer's quota, in the quota's units
  */
-record AdmittedRequest(RelayRequest request, RouteTable routeTable, Route route, @Nullable Customer customer, double quotaCost) {
+record AdmittedRequest(RelayRequest request, RouteTable routeTable, Route route, @Nullable Customer customer,
+		double quotaCost) {
 
 	int priority() {
 		return (this.customer != null) ? this.customer.priorityOn(this.route) : this.route.priority();
--- a/src/main/java/io/shallotspur/gateway/Attempt.java
+++ b/src/main/java/io/shallotspur/gateway/Attempt.java
@@ -9,8 +9,8 @@
  * One request at one worker: judges what comes back and hands on what can be trusted. Not
  * thread-safe; confined to the gateway's thread.
  * <p>
- * Invariant: of {@link Listener#onSuccess} and {@link Listener#onFailure} exactly one is called,
- * once, unless the attempt is cancelled.
+ * Invariant: of {@link Listener#onSuccess} and {@link Listener#onFailure} exactly one is
+ * called, once, unless the attempt is cancelled.
  */
 final class Attempt implements ExchangeListener {
 
--- a/src/main/java/io/shallotspur/gateway/Candidates.java
+++ b/src/main/java/io/shallotspur/gateway/Candidates.java
@@ -62,7 +62,8 @@
 	 * @return the worker, or empty if there is none
 	 */
 	Optional<WorkerState> soonestAvailable(WorkerStage stage, Set<String> excluded, long now) {
-		return all(stage, excluded, now).stream().min(Comparator.comparingLong((w) -> this.gateway.workerLimits.waitMs(w, now)));
+		return all(stage, excluded, now).stream()
+			.min(Comparator.comparingLong((w) -> this.gateway.workerLimits.waitMs(w, now)));
 	}
 
 }
--- a/src/main/java/io/shallotspur/gateway/ConfigSource.java
+++ b/src/main/java/io/shallotspur/gateway/ConfigSource.java
@@ -8,8 +8,8 @@
 public interface ConfigSource {
 
 	/**
-	 * Asks. An answer is given to {@link Gateway#configure} and {@link Gateway#configConfirmed}
-	 * before the task runs.
+	 * Asks. An answer is given to {@link Gateway#configure} and
+	 * {@link Gateway#configConfirmed} before the task runs.
 	 * @param onComplete run once, when the store has answered or cannot be reached
 	 */
 	void refresh(Runnable onComplete);
--- a/src/main/java/io/shallotspur/gateway/EngineStatistics.java
+++ b/src/main/java/io/shallotspur/gateway/EngineStatistics.java
@@ -31,8 +31,8 @@
 	 * besides, for the call and the first token, does not hold them up.
 	 * @param tokens tokens of the prompt
 	 * @param eventTokens tokens of an event; 0 if that is not known
-	 * @param maxGapMs the longest pause between events that is on time, in milliseconds; 0
-	 * if any is
+	 * @param maxGapMs the longest pause between events that is on time, in milliseconds;
+	 * 0 if any is
 	 * @return whether the pause would be longer
 	 */
 	public boolean wouldStall(double tokens, int eventTokens, long maxGapMs) {
@@ -67,10 +67,14 @@
 			return second;
 		}
 		double firstWeight = (double) first.samples / (first.samples + second.samples);
-		return new EngineStatistics(first.samples + second.samples, weightedMean(firstWeight, first.promptTokens, second.promptTokens),
-				weightedMean(firstWeight, first.outputTokens, second.outputTokens), weightedMean(firstWeight, first.reservedTokens, second.reservedTokens),
-				weightedMean(firstWeight, first.prefillTokenMs, second.prefillTokenMs), mergeMarginalTokenMs(firstWeight, first, second),
-				weightedMean(firstWeight, first.outputTokenMs, second.outputTokenMs), first.lengthModel.weightedMean(firstWeight, second.lengthModel));
+		return new EngineStatistics(first.samples + second.samples,
+				weightedMean(firstWeight, first.promptTokens, second.promptTokens),
+				weightedMean(firstWeight, first.outputTokens, second.outputTokens),
+				weightedMean(firstWeight, first.reservedTokens, second.reservedTokens),
+				weightedMean(firstWeight, first.prefillTokenMs, second.prefillTokenMs),
+				mergeMarginalTokenMs(firstWeight, first, second),
+				weightedMean(firstWeight, first.outputTokenMs, second.outputTokenMs),
+				first.lengthModel.weightedMean(firstWeight, second.lengthModel));
 	}
 
 	private static double mergeMarginalTokenMs(double firstWeight, EngineStatistics first, EngineStatistics second) {
@@ -91,8 +95,9 @@
 	 * @return figures that differ in that only
 	 */
 	public EngineStatistics limitSamples(int maxSamples) {
-		return (this.samples <= maxSamples) ? this : new EngineStatistics(maxSamples, this.promptTokens, this.outputTokens,
-				this.reservedTokens, this.prefillTokenMs, this.marginalTokenMs, this.outputTokenMs, this.lengthModel);
+		return (this.samples <= maxSamples) ? this
+				: new EngineStatistics(maxSamples, this.promptTokens, this.outputTokens, this.reservedTokens,
+						this.prefillTokenMs, this.marginalTokenMs, this.outputTokenMs, this.lengthModel);
 	}
 
 }
--- a/src/main/java/io/shallotspur/gateway/EngineTimeEstimator.java
+++ b/src/main/java/io/shallotspur/gateway/EngineTimeEstimator.java
@@ -192,8 +192,10 @@
 	 * empty if that says nothing of either stage
 	 */
 	public Optional<EngineStatistics> statistics() {
-		EngineStatistics shared = (this.sharedStatistics != null) ? this.sharedStatistics.limitSamples(WINDOW_SIZE) : null;
-		return Optional.ofNullable(unsharedStatistics().map((unshared) -> EngineStatistics.merge(shared, unshared)).orElse(shared));
+		EngineStatistics shared = (this.sharedStatistics != null) ? this.sharedStatistics.limitSamples(WINDOW_SIZE)
+				: null;
+		return Optional.ofNullable(
+				unsharedStatistics().map((unshared) -> EngineStatistics.merge(shared, unshared)).orElse(shared));
 	}
 
 	/**
@@ -205,10 +207,13 @@
 		if (this.unsharedRequests == 0 || !this.prefillTimes.isKnown() || outputTokenMs == 0) {
 			return Optional.empty();
 		}
-		List<PromptInfo> newRequests = this.recentRequests.stream().skip(this.recentRequests.size() - this.unsharedRequests).toList();
+		List<PromptInfo> newRequests = this.recentRequests.stream()
+			.skip(this.recentRequests.size() - this.unsharedRequests)
+			.toList();
 		double promptTokens = Math.max(1, mean(newRequests, PromptInfo::promptTokens));
-		return Optional.of(new EngineStatistics(newRequests.size(), promptTokens, mean(newRequests, PromptInfo::expectedOutputTokens),
-				mean(newRequests, (p) -> reservationTokens(p, 0)), this.prefillTimes.estimateMs(promptTokens) / promptTokens, this.prefillTimes.marginalTokenMs(),
+		return Optional.of(new EngineStatistics(newRequests.size(), promptTokens,
+				mean(newRequests, PromptInfo::expectedOutputTokens), mean(newRequests, (p) -> reservationTokens(p, 0)),
+				this.prefillTimes.estimateMs(promptTokens) / promptTokens, this.prefillTimes.marginalTokenMs(),
 				outputTokenMs, this.outputLengths.model()));
 	}
 
--- a/src/main/java/io/shallotspur/gateway/Gateway.java
+++ b/src/main/java/io/shallotspur/gateway/Gateway.java
@@ -144,8 +144,8 @@
 	 * Says that this VM ends. Callers who still have its address would find nobody, and
 	 * some have but one try left, so it answers to the end: what cannot be answered in
 	 * time is refused as not run.
-	 * @param refuseFrom from when on requests are refused that would take too long, on the
-	 * clock of the gateway
+	 * @param refuseFrom from when on requests are refused that would take too long, on
+	 * the clock of the gateway
 	 * @param shutdownAt when the last answer has to be whole, on the same clock
 	 */
 	public void drain(long refuseFrom, long shutdownAt) {
@@ -225,7 +225,8 @@
 
 	/**
 	 * Takes that the configuration in force was the newest one.
-	 * @param requestedAtMs when the question was sent that showed so, by {@link #elapsedMs}
+	 * @param requestedAtMs when the question was sent that showed so, by
+	 * {@link #elapsedMs}
 	 */
 	public void configConfirmed(long requestedAtMs) {
 		this.configFreshness.confirm(requestedAtMs);
--- a/src/main/java/io/shallotspur/gateway/KeyCheck.java
+++ b/src/main/java/io/shallotspur/gateway/KeyCheck.java
@@ -37,11 +37,12 @@
 	 * @param keyHash the hash of the caller's key, or {@code null} if it sent none
 	 * @param configAgeMs how long ago the configuration surely was the newest one, in
 	 * milliseconds
-	 * @param revocationBoundMs how long a revoked key may still be used, in milliseconds; 0 for
-	 * no bound
+	 * @param revocationBoundMs how long a revoked key may still be used, in milliseconds;
+	 * 0 for no bound
 	 * @return what to do
 	 */
-	static Decision evaluate(RouteTable table, Route route, @Nullable String keyHash, long configAgeMs, long revocationBoundMs) {
+	static Decision evaluate(RouteTable table, Route route, @Nullable String keyHash, long configAgeMs,
+			long revocationBoundMs) {
 		if (!table.asksForKeys()) {
 			return Decision.admitted(null);
 		}
--- a/src/main/java/io/shallotspur/gateway/OutputLengthEstimator.java
+++ b/src/main/java/io/shallotspur/gateway/OutputLengthEstimator.java
@@ -77,7 +77,8 @@
 				/ (this.count * varX + PRIOR_WEIGHT * PRIOR_VARIANCE);
 		double centerY = weight * meanY + (1 - weight) * modelPrior.estimateLogTokens(meanX);
 		double residualVariance = Math.max(0, varY - 2 * slope * cov + slope * slope * varX);
-		double deviation = Math.sqrt(weight * residualVariance + (1 - weight) * modelPrior.deviation() * modelPrior.deviation());
+		double deviation = Math
+			.sqrt(weight * residualVariance + (1 - weight) * modelPrior.deviation() * modelPrior.deviation());
 		return new OutputLengthModel(centerY - slope * meanX, slope, deviation);
 	}
 
--- a/src/main/java/io/shallotspur/gateway/OutputLengthModel.java
+++ b/src/main/java/io/shallotspur/gateway/OutputLengthModel.java
@@ -41,7 +41,8 @@
 	public OutputLengthModel weightedMean(double weight, OutputLengthModel other) {
 		double thisWeight = weight;
 		double otherWeight = 1 - weight;
-		return new OutputLengthModel(thisWeight * this.intercept + otherWeight * other.intercept, thisWeight * this.slope + otherWeight * other.slope,
+		return new OutputLengthModel(thisWeight * this.intercept + otherWeight * other.intercept,
+				thisWeight * this.slope + otherWeight * other.slope,
 				thisWeight * this.deviation + otherWeight * other.deviation);
 	}
 
--- a/src/main/java/io/shallotspur/gateway/PrefillSelector.java
+++ b/src/main/java/io/shallotspur/gateway/PrefillSelector.java
@@ -49,12 +49,14 @@
 		}
 		// Whether any answer runs there is known to the worker only: this VM may have
 		// started a moment ago.
-		double decodeCost = wouldStall ? Double.MAX_VALUE : EngineStatistics.DECODE_PREFILL_SLOWDOWN * (decodeWorker.activePrefills() + 1);
+		double decodeCost = wouldStall ? Double.MAX_VALUE
+				: EngineStatistics.DECODE_PREFILL_SLOWDOWN * (decodeWorker.activePrefills() + 1);
 		WorkerState best = null;
 		double lowestCost = Double.MAX_VALUE;
 		for (WorkerState candidate : prefillWorkers) {
 			double prefillCost = candidate.estimatedLoad(now) + 1 + JITTER * random.next();
-			double totalCost = prefillCost + hallCost(candidate, decodeWorker.info().hall(), REMOTE_TRANSFER_COST) + hallCost(candidate, hall, REMOTE_PROMPT_COST);
+			double totalCost = prefillCost + hallCost(candidate, decodeWorker.info().hall(), REMOTE_TRANSFER_COST)
+					+ hallCost(candidate, hall, REMOTE_PROMPT_COST);
 			if (prefillCost < decodeCost && totalCost < lowestCost) {
 				lowestCost = totalCost;
 				best = candidate;
--- a/src/main/java/io/shallotspur/gateway/PrefillStep.java
+++ b/src/main/java/io/shallotspur/gateway/PrefillStep.java
@@ -20,7 +20,8 @@
 
 	private final Consumer<Result> callback;
 
-	private final Runnable workerTerminationListener = () -> onFailure(new ExchangeFailure(true, "worker started again"));
+	private final Runnable workerTerminationListener = () -> onFailure(
+			new ExchangeFailure(true, "worker started again"));
 
 	private @Nullable Exchange exchange;
 
@@ -78,14 +79,16 @@
 			return;
 		}
 		finish();
-		this.gateway.engineTimes(this.worker.info().upstream()).recordPrefill(this.gateway.clock.getAsLong() - this.startedAt, this.prompt);
+		this.gateway.engineTimes(this.worker.info().upstream())
+			.recordPrefill(this.gateway.clock.getAsLong() - this.startedAt, this.prompt);
 		this.callback.accept(new Result(source, null, false));
 	}
 
 	@Override
 	public void onRefused(String reason, boolean instanceReplaced) {
 		if (instanceReplaced) {
-			this.gateway.roster.instanceReplaced(this.worker.info().id(), WorkerStage.PREFILL, this.gateway.clock.getAsLong());
+			this.gateway.roster.instanceReplaced(this.worker.info().id(), WorkerStage.PREFILL,
+					this.gateway.clock.getAsLong());
 		}
 		if (!this.finished) {
 			finish();
--- a/src/main/java/io/shallotspur/gateway/PrefillTimeEstimator.java
+++ b/src/main/java/io/shallotspur/gateway/PrefillTimeEstimator.java
@@ -44,7 +44,8 @@
 		if (marginalMs == 0) {
 			return tokens * unqueuedQuantile(this.samples.stream().map((p) -> p.ms() / p.tokens()).sorted().toList());
 		}
-		double fixedMs = unqueuedQuantile(this.samples.stream().map((p) -> p.ms() - marginalMs * p.tokens()).sorted().toList());
+		double fixedMs = unqueuedQuantile(
+				this.samples.stream().map((p) -> p.ms() - marginalMs * p.tokens()).sorted().toList());
 		return Math.max(1, fixedMs + marginalMs * tokens);
 	}
 
--- a/src/main/java/io/shallotspur/gateway/QuotaLimiter.java
+++ b/src/main/java/io/shallotspur/gateway/QuotaLimiter.java
@@ -102,8 +102,8 @@
 	private TokenBucket bucket(Customer customer, double share, long now) {
 		Quota quota = customer.quota();
 		double perMs = quota.perSecond() * share / MS_PER_S;
-		double toleratedUnits = this.tolerance.slack()
-				+ this.tolerance.overshoot() * (quota.perSecond() * this.tolerance.windowMs() / MS_PER_S + quota.burst());
+		double toleratedUnits = this.tolerance.slack() + this.tolerance.overshoot()
+				* (quota.perSecond() * this.tolerance.windowMs() / MS_PER_S + quota.burst());
 		double capacity = share * (quota.burst() + TOLERANCE_SHARE * toleratedUnits);
 		TokenBucket bucket = this.byCustomer.get(customer.name());
 		if (bucket == null) {
--- a/src/main/java/io/shallotspur/gateway/RecentRefusals.java
+++ b/src/main/java/io/shallotspur/gateway/RecentRefusals.java
@@ -31,7 +31,8 @@
 		// Workers that are gone refuse no more, and start again under other names.
 		this.byWorker.values().removeIf((r) -> now >= r.lateBlockedUntil());
 		Refusal previous = this.byWorker.get(workerId);
-		int minTokens = (previous != null && now < previous.blockedUntil()) ? Math.min(tokens, previous.tokens()) : tokens;
+		int minTokens = (previous != null && now < previous.blockedUntil()) ? Math.min(tokens, previous.tokens())
+				: tokens;
 		this.byWorker.put(workerId, new Refusal(minTokens, blockedUntil, lateBlockedUntil));
 	}
 
@@ -58,7 +59,8 @@
 		if (refusal == null) {
 			return true;
 		}
-		return late ? now >= refusal.lateBlockedUntil() : now >= refusal.blockedUntil() || tokens < SMALLER_REQUEST_RATIO * refusal.tokens();
+		return late ? now >= refusal.lateBlockedUntil()
+				: now >= refusal.blockedUntil() || tokens < SMALLER_REQUEST_RATIO * refusal.tokens();
 	}
 
 	/**
--- a/src/main/java/io/shallotspur/gateway/RelayRequest.java
+++ b/src/main/java/io/shallotspur/gateway/RelayRequest.java
@@ -13,8 +13,8 @@
  * @param host the host that the caller named
  * @param headers the fields to be relayed, without those of one connection
  * @param body the body; empty if there is none
- * @param callerTimeoutMs how long the caller waits from the arrival on, in milliseconds, or
- * {@link Long#MAX_VALUE} if it does not say
+ * @param callerTimeoutMs how long the caller waits from the arrival on, in milliseconds,
+ * or {@link Long#MAX_VALUE} if it does not say
  * @param prompt what the request says of its prompt, or {@code null}
  * @param lastEventId the event after which a resumed stream goes on, or {@code null}
  * @param keyHash the hash of the key that the caller sent, or {@code null} if it sent
--- a/src/main/java/io/shallotspur/gateway/RelayTask.java
+++ b/src/main/java/io/shallotspur/gateway/RelayTask.java
@@ -156,7 +156,8 @@
 
 	@Override
 	public void onEvent(byte[] event) {
-		this.progress.recordEvent(event, this.attemptStartedAt, this.gateway.engineTimes(this.upstream), this.gateway.clock.getAsLong());
+		this.progress.recordEvent(event, this.attemptStartedAt, this.gateway.engineTimes(this.upstream),
+				this.gateway.clock.getAsLong());
 		this.response.write(event);
 	}
 
@@ -179,7 +180,8 @@
 		this.gateway.metrics.firstByte(this.route.name(), now - this.arrivedAt);
 		if (this.attempt != null) {
 			String id = this.attempt.worker().info().id();
-			this.gateway.engineTimes(this.upstream).recordTimeToFirstEvent(now - Math.max(this.arrivedAt, this.placing.reservedAt()));
+			this.gateway.engineTimes(this.upstream)
+				.recordTimeToFirstEvent(now - Math.max(this.arrivedAt, this.placing.reservedAt()));
 			this.gateway.roster.outlierDetector(this.upstream).succeeded(id, now - this.attemptStartedAt, now);
 			this.attempt.worker().recordOutcome(false);
 		}
@@ -194,7 +196,8 @@
 		this.gateway.metrics.answered(this.route.name(), this.admitted.customerName(), now - this.arrivedAt);
 		PromptInfo p = this.request.prompt();
 		if (inParts && p != null && this.request.lastEventId() == null) {
-			this.gateway.engineTimes(this.upstream).recordResponse(now - this.progress.firstByteAt(), p, receivedTokens());
+			this.gateway.engineTimes(this.upstream)
+				.recordResponse(now - this.progress.firstByteAt(), p, receivedTokens());
 		}
 		log(now, "answered status=" + head.status() + timingFields());
 		endAttempt();
@@ -255,7 +258,8 @@
 			return false;
 		}
 		// What never left this VM has arrived nowhere, so it takes nothing of the budget.
-		return end == AttemptOutcome.NOT_SENT || this.gateway.retryBudget.tryAcquire(this.upstream, this.gateway.entryVms, now);
+		return end == AttemptOutcome.NOT_SENT
+				|| this.gateway.retryBudget.tryAcquire(this.upstream, this.gateway.entryVms, now);
 	}
 
 	private static RefusalReason refusalReason(AttemptOutcome end) {
@@ -270,8 +274,8 @@
 	private String timingFields() {
 		long held = Math.max(this.arrivedAt, this.placing.reservedAt());
 		return " tokens=" + this.placing.requiredTokens() + " held-ms=" + (held - this.arrivedAt) + " sent-ms="
-				+ (this.attemptStartedAt - this.arrivedAt) + " first-ms=" + (this.progress.firstByteAt() - this.arrivedAt)
-				+ " pause-ms=" + this.progress.longestPauseMs();
+				+ (this.attemptStartedAt - this.arrivedAt) + " first-ms="
+				+ (this.progress.firstByteAt() - this.arrivedAt) + " pause-ms=" + this.progress.longestPauseMs();
 	}
 
 	private void relayFailure(@Nullable ResponseHead head, byte[] body, long now) {
@@ -327,7 +331,8 @@
 		cancelAttempt();
 		refundQuota(r);
 		this.gateway.metrics.refused(r.reason(), this.admitted.customerName());
-		log(now, "refused status=" + r.status() + " reason=" + r.reason().code() + " retry-after-ms=" + r.retryAfterMs());
+		log(now, "refused status=" + r.status() + " reason=" + r.reason().code() + " retry-after-ms="
+				+ r.retryAfterMs());
 		finish();
 		this.response.refuse(r);
 	}
--- a/src/main/java/io/shallotspur/gateway/RequestAdmission.java
+++ b/src/main/java/io/shallotspur/gateway/RequestAdmission.java
@@ -115,7 +115,8 @@
 
 	private void chargeQuota(RouteTable t, Route r, @Nullable Customer c, long now) {
 		double cost = (c != null) ? quotaCost(c) : 0;
-		long wait = (c != null) ? this.gateway.quotas.charge(c, cost, QuotaShare.of(this.gateway.entryVms, now), now) : 0;
+		long wait = (c != null) ? this.gateway.quotas.charge(c, cost, QuotaShare.of(this.gateway.entryVms, now), now)
+				: 0;
 		if (wait > 0) {
 			long after = RetryAfter.refillDelayMs(wait, this.request.callerTimeoutMs(), this.gateway.random.next());
 			refuse(new RelayRefusal(RelayRefusal.TOO_MANY_REQUESTS, RefusalReason.OVER_QUOTA, after), c, now);
@@ -152,8 +153,8 @@
 		long version = this.gateway.routeTable().map(RouteTable::version).orElse(0L);
 		this.gateway.log.write(now,
 				() -> "id=" + this.request.id() + " customer=" + customer + " refused status=" + refusal.status()
-						+ " reason=" + refusal.reason().code() + " retry-after-ms=" + refusal.retryAfterMs() + " config="
-						+ version);
+						+ " reason=" + refusal.reason().code() + " retry-after-ms=" + refusal.retryAfterMs()
+						+ " config=" + version);
 		this.response.refuse(refusal);
 	}
 
--- a/src/main/java/io/shallotspur/gateway/RequestPlacement.java
+++ b/src/main/java/io/shallotspur/gateway/RequestPlacement.java
@@ -18,7 +18,8 @@
  * the gateway's thread.
  * <p>
  * Invariants: a reservation or KV cache that was got and not handed on is given back;
- * {@link Callback} is told once for each {@link #start}, unless {@link #cancel} comes first.
+ * {@link Callback} is told once for each {@link #start}, unless {@link #cancel} comes
+ * first.
  */
 final class RequestPlacement implements ReservationQueue.PendingRequest {
 
@@ -95,15 +96,16 @@
 
 	private long waitStartedAt;
 
-	RequestPlacement(Gateway gateway, AdmittedRequest admitted, String upstream, @Nullable UpstreamSpec upstreamSpec, Callback callback, long arrivedAt,
-			long deadline) {
+	RequestPlacement(Gateway gateway, AdmittedRequest admitted, String upstream, @Nullable UpstreamSpec upstreamSpec,
+			Callback callback, long arrivedAt, long deadline) {
 		this.gateway = gateway;
 		this.admitted = admitted;
 		this.route = admitted.route();
 		this.request = admitted.request();
 		this.upstream = upstream;
 		this.engine = (upstreamSpec != null) ? upstreamSpec.engine() : null;
-		this.candidates = new Candidates(gateway, upstream, (upstreamSpec != null) ? upstreamSpec.connectionLimit() : Integer.MAX_VALUE);
+		this.candidates = new Candidates(gateway, upstream,
+				(upstreamSpec != null) ? upstreamSpec.connectionLimit() : Integer.MAX_VALUE);
 		this.callback = callback;
 		this.arrivedAt = arrivedAt;
 		this.deadline = deadline;
@@ -134,7 +136,8 @@
 		}
 		else {
 			WorkerSelector.leastCost(candidates(now), this.gateway.settings.hall(), this.gateway.random, now)
-				.ifPresentOrElse((w) -> prefillOrSend(w, now), () -> this.callback.onRefused(RefusalReason.WORKERS_FULL, now));
+				.ifPresentOrElse((w) -> prefillOrSend(w, now),
+						() -> this.callback.onRefused(RefusalReason.WORKERS_FULL, now));
 		}
 	}
 
@@ -214,7 +217,8 @@
 	@Override
 	public int requiredTokens() {
 		PromptInfo p = this.request.prompt();
-		return (p != null) ? this.gateway.engineTimes(this.upstream).reservationTokens(p, this.callback.receivedTokens()) : 0;
+		return (p != null)
+				? this.gateway.engineTimes(this.upstream).reservationTokens(p, this.callback.receivedTokens()) : 0;
 	}
 
 	@Override
@@ -224,7 +228,8 @@
 
 	@Override
 	public long latestStart() {
-		return this.firstArrivalAt + this.route.targetMs() - this.gateway.engineTimes(this.upstream).timeToFirstEventMs();
+		return this.firstArrivalAt + this.route.targetMs()
+				- this.gateway.engineTimes(this.upstream).timeToFirstEventMs();
 	}
 
 	@Override
@@ -241,8 +246,8 @@
 	 */
 	long generationMs() {
 		PromptInfo p = this.request.prompt();
-		return (p != null)
-				? this.gateway.engineTimes(this.upstream).generationMs(Math.max(0, p.expectedOutputTokens() - this.callback.receivedTokens())) : 0;
+		return (p != null) ? this.gateway.engineTimes(this.upstream)
+			.generationMs(Math.max(0, p.expectedOutputTokens() - this.callback.receivedTokens())) : 0;
 	}
 
 	@Override
@@ -279,9 +284,10 @@
 	}
 
 	private void prefillOrSend(PromptInfo prompt, boolean retry, long now) {
-		List<WorkerState> prefillWorkers = this.candidates.available(WorkerStage.PREFILL, this.triedPrefillWorkers, now);
-		Optional<WorkerState> prefillWorker = PrefillSelector.select(prompt, prefillWorkers, this.target, wouldStall(prompt), this.gateway.settings.hall(),
-				this.gateway.random, now);
+		List<WorkerState> prefillWorkers = this.candidates.available(WorkerStage.PREFILL, this.triedPrefillWorkers,
+				now);
+		Optional<WorkerState> prefillWorker = PrefillSelector.select(prompt, prefillWorkers, this.target,
+				wouldStall(prompt), this.gateway.settings.hall(), this.gateway.random, now);
 		if (prefillWorker.isEmpty() || (retry && !this.callback.mayRetryPrefill(now))) {
 			send(now);
 			return;
@@ -289,8 +295,10 @@
 		this.prefillAttempted = true;
 		this.triedPrefillWorkers.add(prefillWorker.get().info().id());
 		this.prefillStep = new PrefillStep(this.gateway, prefillWorker.get(), prompt, this::onPrefillResult);
-		this.prefillStep.start(new WorkerCall(this.request, prefillWorker.get().info(), Math.max(1, this.deadline - now), priority(),
-				this.callback.lastEventId(), null, null, this.admitted.customerName()), prefillTimeoutMs());
+		this.prefillStep.start(
+				new WorkerCall(this.request, prefillWorker.get().info(), Math.max(1, this.deadline - now), priority(),
+						this.callback.lastEventId(), null, null, this.admitted.customerName()),
+				prefillTimeoutMs());
 	}
 
 	private boolean wouldStall(PromptInfo prompt) {
@@ -346,8 +354,8 @@
 			worker.limit().releaseReservation();
 		}
 		this.triedWorkers.add(worker.info().id());
-		WorkerCall call = new WorkerCall(this.request, worker.info(), Math.max(1, this.deadline - now), priority(), null,
-				this.source, this.reservation, this.admitted.customerName());
+		WorkerCall call = new WorkerCall(this.request, worker.info(), Math.max(1, this.deadline - now), priority(),
+				null, this.source, this.reservation, this.admitted.customerName());
 		this.target = null;
 		this.source = null;
 		this.reservation = null;
@@ -359,7 +367,8 @@
 	// memory of its own, and a running one be dropped for it. It is of no use either at a
 	// worker that leaves: the request would come late, and its answer break off.
 	private boolean isReservationValid(WorkerState w, long now) {
-		return w.isActive(now) && this.gateway.roster.isCurrentInstance(w.info()) && now < this.reservedAt + reservationMs() - RESERVATION_MARGIN_MS;
+		return w.isActive(now) && this.gateway.roster.isCurrentInstance(w.info())
+				&& now < this.reservedAt + reservationMs() - RESERVATION_MARGIN_MS;
 	}
 
 	private boolean isCacheValid(KvSource s, long now) {
--- a/src/main/java/io/shallotspur/gateway/ReservationQueue.java
+++ b/src/main/java/io/shallotspur/gateway/ReservationQueue.java
@@ -155,7 +155,8 @@
 				break;
 			}
 			this.queue.remove(attempt.get().ticket());
-			if (this.consecutiveRefusals >= SATURATION_REFUSALS && attempt.get().candidateCount() > SATURATION_REFUSALS) {
+			if (this.consecutiveRefusals >= SATURATION_REFUSALS
+					&& attempt.get().candidateCount() > SATURATION_REFUSALS) {
 				this.nextAttemptAt = now + SATURATED_INTERVAL_MS;
 			}
 			requestReservation(attempt.get().ticket(), attempt.get().worker(), now);
@@ -165,7 +166,8 @@
 
 	private Optional<ReservationAttempt> nextAttempt(long now) {
 		List<Ticket> ordered = orderedTickets(now);
-		boolean hasTimelyRequest = Stream.concat(ordered.stream(), this.inFlight.stream()).anyMatch((ticket) -> !ticket.late);
+		boolean hasTimelyRequest = Stream.concat(ordered.stream(), this.inFlight.stream())
+			.anyMatch((ticket) -> !ticket.late);
 		for (Ticket ticket : ordered) {
 			if (ticket.late && hasTimelyRequest) {
 				break;
@@ -223,35 +225,37 @@
 		this.inFlight.add(ticket);
 		worker.requestStarted();
 		worker.limit().reserve();
-		this.gateway.workerPort.reserve(worker.info(), tokens, ticket.request.reservationMs(), new ReservationListener() {
-
-			@Override
-			public void onStatus(WorkerStatus status) {
-				ReservationQueue.this.gateway.updateWorkerStatus(worker, status, now);
-			}
-
-			@Override
-			public void onReserved(String reservation) {
-				onResponse(ticket, worker, tokens, reservation, null);
-			}
-
-			@Override
-			public void onNoCapacity() {
-				onResponse(ticket, worker, tokens, null, null);
-			}
-
-			@Override
-			public void onInstanceReplaced() {
-				ReservationQueue.this.gateway.roster.instanceReplaced(worker.info().id(), WorkerStage.DECODE, ReservationQueue.this.gateway.clock.getAsLong());
-				onResponse(ticket, worker, tokens, null, null);
-			}
-
-			@Override
-			public void onFailure(ExchangeFailure failure) {
-				onResponse(ticket, worker, tokens, null, failure);
-			}
-
-		});
+		this.gateway.workerPort.reserve(worker.info(), tokens, ticket.request.reservationMs(),
+				new ReservationListener() {
+
+					@Override
+					public void onStatus(WorkerStatus status) {
+						ReservationQueue.this.gateway.updateWorkerStatus(worker, status, now);
+					}
+
+					@Override
+					public void onReserved(String reservation) {
+						onResponse(ticket, worker, tokens, reservation, null);
+					}
+
+					@Override
+					public void onNoCapacity() {
+						onResponse(ticket, worker, tokens, null, null);
+					}
+
+					@Override
+					public void onInstanceReplaced() {
+						ReservationQueue.this.gateway.roster.instanceReplaced(worker.info().id(), WorkerStage.DECODE,
+								ReservationQueue.this.gateway.clock.getAsLong());
+						onResponse(ticket, worker, tokens, null, null);
+					}
+
+					@Override
+					public void onFailure(ExchangeFailure failure) {
+						onResponse(ticket, worker, tokens, null, failure);
+					}
+
+				});
 	}
 
 	private void onResponse(Ticket ticket, WorkerState worker, int tokens, @Nullable String reservation,
@@ -286,7 +290,8 @@
 
 	private void onRefused(WorkerState worker, int tokens, @Nullable ExchangeFailure failure, long now) {
 		long backoffMs = (long) (FULL_BACKOFF_MS * (0.75 + this.gateway.random.next() / 2));
-		this.recentRefusals.recordRefusal(worker.info().id(), tokens, now + backoffMs, now + backoffMs + lateBackoffMs(now), now);
+		this.recentRefusals.recordRefusal(worker.info().id(), tokens, now + backoffMs,
+				now + backoffMs + lateBackoffMs(now), now);
 		if (failure != null) {
 			this.gateway.roster.outlierDetector(this.upstream).failed(worker.info().id(), now);
 			worker.recordOutcome(true);
@@ -311,7 +316,8 @@
 		if (this.nextAttemptAt > now && this.inFlight.size() < MAX_CONCURRENT_CALLS) {
 			wakeAt = Math.min(wakeAt, this.nextAttemptAt);
 		}
-		this.cancelTimer = this.gateway.timer.schedule(Math.max(1, wakeAt - now), () -> dispatch(this.gateway.clock.getAsLong()));
+		this.cancelTimer = this.gateway.timer.schedule(Math.max(1, wakeAt - now),
+				() -> dispatch(this.gateway.clock.getAsLong()));
 	}
 
 	/**
--- a/src/main/java/io/shallotspur/gateway/ResponseHead.java
+++ b/src/main/java/io/shallotspur/gateway/ResponseHead.java
@@ -9,8 +9,8 @@
  * @param headers the fields to be relayed, without those of one connection
  * @param authenticity whether the answer is the worker's answer to this request
  * @param notRun whether the worker says that it has not run the request and never will
- * @param otherIncarnation whether another incarnation has the address, so that the one that
- * was meant is gone
+ * @param otherIncarnation whether another incarnation has the address, so that the one
+ * that was meant is gone
  * @param workerStatus what the worker says of itself
  */
 public record ResponseHead(int status, List<HeaderField> headers, ResponseAuthenticity authenticity, boolean notRun,
--- a/src/main/java/io/shallotspur/gateway/ServingVmSelector.java
+++ b/src/main/java/io/shallotspur/gateway/ServingVmSelector.java
@@ -42,8 +42,11 @@
 	static List<EntryVm> select(List<EntryVm> vms) {
 		List<EntryVm> remaining = new ArrayList<>(vms.stream().sorted(ORDER).toList());
 		List<EntryVm> selected = new ArrayList<>();
-		while (!remaining.isEmpty() && selected.stream().filter((v) -> !v.overloaded()).count() < MIN_VMS_WITH_CAPACITY) {
-			EntryVm next = remaining.stream().min(Comparator.comparingLong((v) -> countInHall(selected, v.hall()))).orElseThrow();
+		while (!remaining.isEmpty()
+				&& selected.stream().filter((v) -> !v.overloaded()).count() < MIN_VMS_WITH_CAPACITY) {
+			EntryVm next = remaining.stream()
+				.min(Comparator.comparingLong((v) -> countInHall(selected, v.hall())))
+				.orElseThrow();
 			remaining.remove(next);
 			selected.add(next);
 		}
--- a/src/main/java/io/shallotspur/gateway/WorkerCall.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerCall.java
@@ -15,7 +15,8 @@
  * @param customer the customer whose request it is, or {@code null}
  */
 public record WorkerCall(RelayRequest request, WorkerInfo worker, long timeoutMs, int priority,
-		@Nullable String lastEventId, @Nullable KvSource kvSource, @Nullable String reservation, @Nullable String customer) {
+		@Nullable String lastEventId, @Nullable KvSource kvSource, @Nullable String reservation,
+		@Nullable String customer) {
 
 	/**
 	 * Returns this call with another place to go on from.
@@ -23,8 +24,8 @@
 	 * @return a call that differs in that only
 	 */
 	public WorkerCall withLastEventId(@Nullable String id) {
-		return new WorkerCall(this.request, this.worker, this.timeoutMs, this.priority, id, this.kvSource, this.reservation,
-				this.customer);
+		return new WorkerCall(this.request, this.worker, this.timeoutMs, this.priority, id, this.kvSource,
+				this.reservation, this.customer);
 	}
 
 }
--- a/src/main/java/io/shallotspur/gateway/WorkerDirectory.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerDirectory.java
@@ -65,9 +65,9 @@
 	/**
 	 * Takes the removal of a worker's entry.
 	 * @param id the worker
-	 * @param graceEnd until when the worker may still be used, in milliseconds, the present
-	 * or a past time if not at all: entries that lapsed while the registry was away come
-	 * back if the worker lives
+	 * @param graceEnd until when the worker may still be used, in milliseconds, the
+	 * present or a past time if not at all: entries that lapsed while the registry was
+	 * away come back if the worker lives
 	 */
 	public void entryRemoved(String id, long graceEnd) {
 		WorkerState s = this.byId.get(id);
@@ -195,8 +195,8 @@
 		OutlierDetector d = outlierDetector(upstream);
 		for (WorkerState s : this.byId.values()) {
 			WorkerInfo i = s.info();
-			if (!i.upstream().equals(upstream) || i.draining() || !stages.contains(i.stage()) || excluded.contains(i.id())
-					|| isChangingStage(i)) {
+			if (!i.upstream().equals(upstream) || i.draining() || !stages.contains(i.stage())
+					|| excluded.contains(i.id()) || isChangingStage(i)) {
 				continue;
 			}
 			all.add(s);
--- a/src/main/java/io/shallotspur/gateway/WorkerState.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerState.java
@@ -164,7 +164,8 @@
 	 * @param ms its time there, in milliseconds
 	 */
 	void recordDuration(long ms) {
-		this.meanDurationMs = (this.meanDurationMs > 0) ? this.meanDurationMs + DURATION_WEIGHT * (ms - this.meanDurationMs) : ms;
+		this.meanDurationMs = (this.meanDurationMs > 0)
+				? this.meanDurationMs + DURATION_WEIGHT * (ms - this.meanDurationMs) : ms;
 	}
 
 	private double halfLifeMs() {
--- a/src/main/java/io/shallotspur/registry/Leadership.java
+++ b/src/main/java/io/shallotspur/registry/Leadership.java
@@ -111,7 +111,8 @@
 		}
 		this.asking = true;
 		// Whether it was got is heard with all other changes: an answer may be lost.
-		this.registry.claimLeadership(this.self, lease).subscribe((got) -> asked("got=" + got), (ex) -> asked(ex.toString()));
+		this.registry.claimLeadership(this.self, lease)
+			.subscribe((got) -> asked("got=" + got), (ex) -> asked(ex.toString()));
 	}
 
 	private void asked(String seen) {
@@ -153,7 +154,8 @@
 	 */
 	public Mono<Boolean> confirm() {
 		RegistryChange.LeaderElected mine = this.held;
-		return this.registry.readLeader().map((d) -> d.isPresent() && d.get().vm().equals(this.self) && d.get().equals(mine));
+		return this.registry.readLeader()
+			.map((d) -> d.isPresent() && d.get().vm().equals(this.self) && d.get().equals(mine));
 	}
 
 	/**
--- a/src/main/java/io/shallotspur/registry/RegistryChange.java
+++ b/src/main/java/io/shallotspur/registry/RegistryChange.java
@@ -87,7 +87,8 @@
 	 * @param stats what all have seen
 	 * @param position the state of the store in which it was told
 	 */
-	record EngineStatsUpdated(String upstream, EngineStatistics stats, StorePosition position) implements RegistryChange {
+	record EngineStatsUpdated(String upstream, EngineStatistics stats,
+			StorePosition position) implements RegistryChange {
 
 	}
 
--- a/src/main/java/io/shallotspur/registry/RegistryWatcher.java
+++ b/src/main/java/io/shallotspur/registry/RegistryWatcher.java
@@ -216,7 +216,8 @@
 		if (this.underWay && !this.storeUnavailable) {
 			this.call.dispose();
 			// The other call was sent before this watch, maybe into a cut that has ended.
-			lost(new StoreUnavailableException("The store did not answer another call.", "watch"), StoreOutageTracker.NEVER);
+			lost(new StoreUnavailableException("The store did not answer another call.", "watch"),
+					StoreOutageTracker.NEVER);
 		}
 	}
 
@@ -344,8 +345,8 @@
 	}
 
 	private ChangeApplier.Graces graces(long now) {
-		return new ChangeApplier.Graces(this.absence.workerGraceEndsAt(), this.absence.vmGraceEndsAt(), this.absence.updateAgeMs(now),
-				this.absence.sinceFailureMs(now));
+		return new ChangeApplier.Graces(this.absence.workerGraceEndsAt(), this.absence.vmGraceEndsAt(),
+				this.absence.updateAgeMs(now), this.absence.sinceFailureMs(now));
 	}
 
 	private void reached() {
--- a/src/main/java/io/shallotspur/registry/SharedEngineStats.java
+++ b/src/main/java/io/shallotspur/registry/SharedEngineStats.java
@@ -134,7 +134,8 @@
 		}
 	}
 
-	private void tell(String upstream, EngineTimeEstimator times, RegistryChange.@Nullable EngineStatsUpdated k, EngineStatistics part) {
+	private void tell(String upstream, EngineTimeEstimator times, RegistryChange.@Nullable EngineStatsUpdated k,
+			EngineStatistics part) {
 		EngineStatistics old = (k != null) ? k.stats().limitSamples(MOST_SAMPLES) : null;
 		EngineStatistics sum = EngineStatistics.merge(old, part);
 		this.registry.publishStats(upstream, sum, (k != null) ? k.position() : StorePosition.NONE).subscribe((done) -> {
--- a/src/main/java/io/shallotspur/stage/StageKeeper.java
+++ b/src/main/java/io/shallotspur/stage/StageKeeper.java
@@ -82,8 +82,8 @@
 	 * @param heardByAllMs how long after an announcement all VMs have heard of it, in
 	 * milliseconds; no order is given before that
 	 */
-	public StageKeeper(String vm, Gateway gateway, Leadership duty, StagePort port, GatewayTimer timer, LongSupplier clock,
-			long heardByAllMs) {
+	public StageKeeper(String vm, Gateway gateway, Leadership duty, StagePort port, GatewayTimer timer,
+			LongSupplier clock, long heardByAllMs) {
 		this.vm = vm;
 		this.gateway = gateway;
 		this.duty = duty;
--- a/src/test/java/io/shallotspur/gateway/EngineTimeEstimatorTests.java
+++ b/src/test/java/io/shallotspur/gateway/EngineTimeEstimatorTests.java
@@ -4,7 +4,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests of {@link EngineTimeEstimator}: what is known when, and on how many requests it rests.
+ * Tests of {@link EngineTimeEstimator}: what is known when, and on how many requests it
+ * rests.
  */
 class EngineTimeEstimatorTests {
 
@@ -28,7 +29,8 @@
 
 	@Test
 	void mergesLocalAndSharedStatistics() {
-		this.times.setSharedStatistics(new EngineStatistics(4, 1_000, 100, 1_200, 0.03, 0.03, 7, OutputLengthModel.PRIOR));
+		this.times
+			.setSharedStatistics(new EngineStatistics(4, 1_000, 100, 1_200, 0.03, 0.03, 7, OutputLengthModel.PRIOR));
 		EngineTimeSamples.recordRequests(this.times, 4, 3_000, 500, 90, 7);
 		EngineStatistics f = this.times.statistics().orElseThrow();
 		Assertions.assertThat(f.samples()).isEqualTo(8);
--- a/src/test/java/io/shallotspur/gateway/EngineTimeSamples.java
+++ b/src/test/java/io/shallotspur/gateway/EngineTimeSamples.java
@@ -19,8 +19,8 @@
 	 * @param prefillMs time of each prefill, in milliseconds
 	 * @param tokenMs time between two tokens, in milliseconds
 	 */
-	public static void recordRequests(EngineTimeEstimator estimator, int n, int promptTokens, int outputTokens, long prefillMs,
-			long tokenMs) {
+	public static void recordRequests(EngineTimeEstimator estimator, int n, int promptTokens, int outputTokens,
+			long prefillMs, long tokenMs) {
 		PromptInfo p = new PromptInfo(promptTokens, 2 * outputTokens, outputTokens);
 		for (int i = 0; i < n; i++) {
 			estimator.recordRequest(p);
--- a/src/test/java/io/shallotspur/gateway/FakeWorkers.java
+++ b/src/test/java/io/shallotspur/gateway/FakeWorkers.java
@@ -71,22 +71,25 @@
 		}
 
 		void respondHead(int status) {
-			this.listener.onHead(new ResponseHead(status, List.of(), ResponseAuthenticity.SIGNED, false, false, WorkerStatus.NONE));
+			this.listener.onHead(
+					new ResponseHead(status, List.of(), ResponseAuthenticity.SIGNED, false, false, WorkerStatus.NONE));
 		}
 
 		void respondWithLimit(WorkerRateLimit limit) {
-			this.listener
-				.onHead(new ResponseHead(200, List.of(), ResponseAuthenticity.SIGNED, false, false, new WorkerStatus(null, limit)));
+			this.listener.onHead(new ResponseHead(200, List.of(), ResponseAuthenticity.SIGNED, false, false,
+					new WorkerStatus(null, limit)));
 			this.listener.onBytes("fine".getBytes());
 			this.listener.onEnd();
 		}
 
 		void rejectNotRun() {
-			this.listener.onHead(new ResponseHead(503, List.of(), ResponseAuthenticity.UNSIGNED, true, false, WorkerStatus.NONE));
+			this.listener.onHead(
+					new ResponseHead(503, List.of(), ResponseAuthenticity.UNSIGNED, true, false, WorkerStatus.NONE));
 		}
 
 		void rejectReplaced() {
-			this.listener.onHead(new ResponseHead(421, List.of(), ResponseAuthenticity.UNSIGNED, true, true, WorkerStatus.NONE));
+			this.listener
+				.onHead(new ResponseHead(421, List.of(), ResponseAuthenticity.UNSIGNED, true, true, WorkerStatus.NONE));
 		}
 
 		void resetConnection() {
--- a/src/test/java/io/shallotspur/gateway/GatewayFixture.java
+++ b/src/test/java/io/shallotspur/gateway/GatewayFixture.java
@@ -55,8 +55,9 @@
 	GatewayFixture(long revokedKeyMs, DoubleSupplier random) {
 		this.gateway = new Gateway(
 				new GatewaySettings("vm-1", "hall-a", 0.2, 50, 10_000).withRevokedKeyMs(revokedKeyMs),
-				new GatewayPorts(this.workers, this.timer, this.timer::now, () -> this.timer.now() + this.wallClockOffsetMs,
-						random, new DecisionLog(0), new RelayMetrics(this.metrics)));
+				new GatewayPorts(this.workers, this.timer, this.timer::now,
+						() -> this.timer.now() + this.wallClockOffsetMs, random, new DecisionLog(0),
+						new RelayMetrics(this.metrics)));
 	}
 
 	GatewayFixture configured() {
@@ -94,14 +95,14 @@
 
 	void restart(WorkerInfo w) {
 		this.gateway.roster()
-			.updateEntry(new WorkerInfo(w.id(), w.upstream(), w.host(), w.port(), w.hall(), w.slots(), w.stage(), false, 0,
-					w.startedAt() + 1), this.timer.now());
+			.updateEntry(new WorkerInfo(w.id(), w.upstream(), w.host(), w.port(), w.hall(), w.slots(), w.stage(), false,
+					0, w.startedAt() + 1), this.timer.now());
 	}
 
 	void drain(WorkerInfo w) {
 		this.gateway.roster()
-			.updateEntry(new WorkerInfo(w.id(), w.upstream(), w.host(), w.port(), w.hall(), w.slots(), w.stage(), true, 0,
-					w.startedAt()), this.timer.now());
+			.updateEntry(new WorkerInfo(w.id(), w.upstream(), w.host(), w.port(), w.hall(), w.slots(), w.stage(), true,
+					0, w.startedAt()), this.timer.now());
 	}
 
 	Call call(String route) {
--- a/src/test/java/io/shallotspur/gateway/OutputLengthEstimatorTests.java
+++ b/src/test/java/io/shallotspur/gateway/OutputLengthEstimatorTests.java
@@ -69,7 +69,8 @@
 			@ForAll @IntRange(min = 0, max = 100_000) int expected) {
 		OutputLengthEstimator estimator = estimatorAfter(median, spread, error, n);
 		Assertions.assertThat(estimator.model().estimateTokens(expected, 0)).isFinite().isPositive();
-		Assertions.assertThat(estimator.model().estimateTokens(expected, 1)).isGreaterThanOrEqualTo(estimator.model().estimateTokens(expected, 0));
+		Assertions.assertThat(estimator.model().estimateTokens(expected, 1))
+			.isGreaterThanOrEqualTo(estimator.model().estimateTokens(expected, 0));
 	}
 
 	// Most of those that end later are no longer than was set aside, and what is set
--- a/src/test/java/io/shallotspur/gateway/PrefillTests.java
+++ b/src/test/java/io/shallotspur/gateway/PrefillTests.java
@@ -228,8 +228,8 @@
 
 	private static @Nullable WorkerState select(List<WorkerState> prefill) {
 		return PrefillSelector
-			.select(new PromptInfo(SHORT_PROMPT, 100, 100), prefill, worker("d1", "hall-b"), false, "hall-a",
-					() -> 0.5, 0)
+			.select(new PromptInfo(SHORT_PROMPT, 100, 100), prefill, worker("d1", "hall-b"), false, "hall-a", () -> 0.5,
+					0)
 			.orElse(null);
 	}
 
--- a/src/test/java/io/shallotspur/gateway/PrefillTimeEstimatorTests.java
+++ b/src/test/java/io/shallotspur/gateway/PrefillTimeEstimatorTests.java
@@ -7,7 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests of {@link PrefillTimeEstimator}: prompts of all lengths, some of which wait in a queue.
+ * Tests of {@link PrefillTimeEstimator}: prompts of all lengths, some of which wait in a
+ * queue.
  */
 class PrefillTimeEstimatorTests {
 
--- a/src/test/java/io/shallotspur/gateway/RateLimitedFleet.java
+++ b/src/test/java/io/shallotspur/gateway/RateLimitedFleet.java
@@ -138,7 +138,9 @@
 	void setCrowded(int vm, boolean crowded, IntPredicate receivers) {
 		EntryVm e = this.entries.get(vm).withOverloaded(crowded);
 		this.entries.set(vm, e);
-		IntStream.range(0, this.vms.size()).filter(receivers).forEach((i) -> this.vms.get(i).gateway.entryVms().register(e));
+		IntStream.range(0, this.vms.size())
+			.filter(receivers)
+			.forEach((i) -> this.vms.get(i).gateway.entryVms().register(e));
 	}
 
 	int size() {
@@ -226,7 +228,9 @@
 	 * @return from 0 to 1
 	 */
 	double servedShare(long from) {
-		List<CallerRequest> l = this.calls.stream().filter((c) -> c.at() >= from && c.at() < this.now - RESPONSE_DEADLINE_MS).toList();
+		List<CallerRequest> l = this.calls.stream()
+			.filter((c) -> c.at() >= from && c.at() < this.now - RESPONSE_DEADLINE_MS)
+			.toList();
 		return (double) l.stream().filter((c) -> c.call().caller().status == 200).count() / l.size();
 	}
 
--- a/src/test/java/io/shallotspur/gateway/WorkerRateLimitTests.java
+++ b/src/test/java/io/shallotspur/gateway/WorkerRateLimitTests.java
@@ -209,7 +209,8 @@
 			f.call("safe");
 			f.workers.lastRun().respondWithLimit(WorkerRateLimit.UNLIMITED);
 		}
-		Assertions.assertThat(f.workers.runs.stream().skip(runsBefore).filter((r) -> r.call.worker().id().equals(limited)))
+		Assertions
+			.assertThat(f.workers.runs.stream().skip(runsBefore).filter((r) -> r.call.worker().id().equals(limited)))
 			.isNotEmpty();
 	}
 
--- a/src/test/java/io/shallotspur/registry/ConfigReaderTests.java
+++ b/src/test/java/io/shallotspur/registry/ConfigReaderTests.java
@@ -54,7 +54,8 @@
 
 	@Test
 	void bringsTheNewestConfigurationIntoForceBeforeItTells() {
-		this.reader.refresh(() -> Assertions.assertThat(this.gateway.routeTable().orElseThrow().version()).isEqualTo(4));
+		this.reader
+			.refresh(() -> Assertions.assertThat(this.gateway.routeTable().orElseThrow().version()).isEqualTo(4));
 		ask();
 		answer(4);
 		Assertions.assertThat(this.told).hasValue(1);
--- a/src/test/java/io/shallotspur/registry/EraTrackerTests.java
+++ b/src/test/java/io/shallotspur/registry/EraTrackerTests.java
@@ -55,8 +55,10 @@
 	// would refuse all orders from then on.
 	@Test
 	void fencesRiseThoughRevisionsFallBack() {
-		Assertions.assertThat(new StorePosition(2, 10).fencingToken()).isGreaterThan(new StorePosition(1, 5_000_000).fencingToken());
-		Assertions.assertThat(new StorePosition(2, 11).fencingToken()).isGreaterThan(new StorePosition(2, 10).fencingToken());
+		Assertions.assertThat(new StorePosition(2, 10).fencingToken())
+			.isGreaterThan(new StorePosition(1, 5_000_000).fencingToken());
+		Assertions.assertThat(new StorePosition(2, 11).fencingToken())
+			.isGreaterThan(new StorePosition(2, 10).fencingToken());
 		Assertions.assertThat(new StorePosition(0, 40).fencingToken()).isEqualTo(40);
 	}
 
--- a/src/test/java/io/shallotspur/registry/LeadershipTests.java
+++ b/src/test/java/io/shallotspur/registry/LeadershipTests.java
@@ -27,7 +27,8 @@
 	private final VmRegistration registration = new VmRegistration(this.registry,
 			new EntryVm(SELF, "10.0.0.2:80", "region-1", "hall-a", 1, false), this.timer);
 
-	private final Leadership duty = new Leadership(this.registry, this.registration, this.vms, SELF, TURN_MS, this.timer::now);
+	private final Leadership duty = new Leadership(this.registry, this.registration, this.vms, SELF, TURN_MS,
+			this.timer::now);
 
 	@BeforeEach
 	void register() {
--- a/src/test/java/io/shallotspur/registry/RegistryWatcherTests.java
+++ b/src/test/java/io/shallotspur/registry/RegistryWatcherTests.java
@@ -278,8 +278,8 @@
 
 	@Test
 	void aListingWithAnEntryThatCannotBeReadStaysWhole() {
-		follow(config(3), new RegistryChange.EntryUnreadable("servers/w0", "w0", "The value is not JSON."), worker("w1"),
-				new RegistryChange.EntryUnreadable("op/config", null, "The value is not JSON."));
+		follow(config(3), new RegistryChange.EntryUnreadable("servers/w0", "w0", "The value is not JSON."),
+				worker("w1"), new RegistryChange.EntryUnreadable("op/config", null, "The value is not JSON."));
 		Assertions.assertThat(workers()).isEqualTo(1);
 		Assertions.assertThat(this.gateway.routeTable()).isPresent();
 	}
--- a/src/test/java/io/shallotspur/registry/SharedEngineStatsTests.java
+++ b/src/test/java/io/shallotspur/registry/SharedEngineStatsTests.java
@@ -78,9 +78,8 @@
 	// with the traffic times the VMs.
 	@Test
 	void isSilentOnceTheLoadIsKnown() {
-		Assertions
-			.assertThat(SharedEngineStats.shouldPublish(MANY,
-					new EngineStatistics(20, 3_200, 450, 3_900, 0.031, 0.031, 7.5, OutputLengthModel.PRIOR)))
+		Assertions.assertThat(SharedEngineStats.shouldPublish(MANY,
+				new EngineStatistics(20, 3_200, 450, 3_900, 0.031, 0.031, 7.5, OutputLengthModel.PRIOR)))
 			.isFalse();
 		Assertions
 			.assertThat(SharedEngineStats.shouldPublish(MANY,
@@ -139,12 +138,12 @@
 	private final class Vm {
 
 		private final Gateway gateway = new Gateway(new GatewaySettings("vm", "hall-a", 0.2, 50, 10_000),
-				new GatewayPorts(new NopWorkers(), SharedEngineStatsTests.this.timer, SharedEngineStatsTests.this.timer::now,
-						SharedEngineStatsTests.this.timer::now, () -> 0.5, new DecisionLog(0),
-						new RelayMetrics(new MetricRegistry())));
+				new GatewayPorts(new NopWorkers(), SharedEngineStatsTests.this.timer,
+						SharedEngineStatsTests.this.timer::now, SharedEngineStatsTests.this.timer::now, () -> 0.5,
+						new DecisionLog(0), new RelayMetrics(new MetricRegistry())));
 
-		private final SharedEngineStats figures = new SharedEngineStats(SharedEngineStatsTests.this.registry, this.gateway,
-				SharedEngineStatsTests.this.timer, () -> 0.5);
+		private final SharedEngineStats figures = new SharedEngineStats(SharedEngineStatsTests.this.registry,
+				this.gateway, SharedEngineStatsTests.this.timer, () -> 0.5);
 
 		private Vm() {
 			EngineSpec engine = new EngineSpec(48, 42_411, 327_680, 3_300_000, 500, 2_000, 12);
--- a/src/test/java/io/shallotspur/registry/WorkerDrainModelTests.java
+++ b/src/test/java/io/shallotspur/registry/WorkerDrainModelTests.java
@@ -164,7 +164,8 @@
 				this.store.put(vm,
 						new RegistryChange.VmUpdated(new EntryVm(vm, vm + ":80", "region-1", "hall-a", cores, false)));
 			}
-			this.gateway.entryVms().registerSelf(new EntryVm("vms/own", "vms/own:80", "region-1", "hall-a", standsBy ? 1 : 2, false));
+			this.gateway.entryVms()
+				.registerSelf(new EntryVm("vms/own", "vms/own:80", "region-1", "hall-a", standsBy ? 1 : 2, false));
 			this.store.put("servers/stayer", worker("stayer", false));
 			this.store.put("servers/leaver", worker("leaver", false));
 			this.store.put("eras/settled", new RegistryChange.EraSettled(1));
