--- a/src/main/java/io/shallotspur/gateway/Candidates.java
+++ b/src/main/java/io/shallotspur/gateway/Candidates.java
@@ -18,10 +18,10 @@
 	private final int connectionLimit;
 
 	/**
-	 * Creates candidates.
+	 * Creates the candidates of an upstream.
 	 * @param gateway the gateway
 	 * @param upstream the upstream
-	 * @param connectionLimit connections that one worker takes from all VMs together
+	 * @param connectionLimit connections that one worker accepts from all VMs together
 	 */
 	Candidates(Gateway gateway, String upstream, int connectionLimit) {
 		this.gateway = gateway;
@@ -30,9 +30,9 @@
 	}
 
 	/**
-	 * Returns those that are there, whether or not what they take is used up.
-	 * @param stage what they have to do
-	 * @param excluded workers that are left out
+	 * Returns the known workers, whether or not their limits are reached.
+	 * @param stage the required stage
+	 * @param excluded ids of workers to leave out
 	 * @param now the present time in milliseconds
 	 * @return the workers
 	 */
@@ -41,9 +41,9 @@
 	}
 
 	/**
-	 * Returns those that take another request of this VM now.
-	 * @param stage what they have to do
-	 * @param excluded workers that are left out
+	 * Returns the workers that accept another request of this VM now.
+	 * @param stage the required stage
+	 * @param excluded ids of workers to leave out
 	 * @param now the present time in milliseconds
 	 * @return the workers
 	 */
@@ -55,14 +55,15 @@
 	}
 
 	/**
-	 * Returns the one whose limit leaves room first.
-	 * @param stage what it has to do
-	 * @param excluded workers that are left out
+	 * Returns the worker whose rate limit admits a request soonest.
+	 * @param stage the required stage
+	 * @param excluded ids of workers to leave out
 	 * @param now the present time in milliseconds
 	 * @return the worker, or empty if there is none
 	 */
 	Optional<WorkerState> soonestAvailable(WorkerStage stage, Set<String> excluded, long now) {
-		return all(stage, excluded, now).stream().min(Comparator.comparingLong((w) -> this.gateway.workerLimits.waitMs(w, now)));
+		return all(stage, excluded, now).stream()
+			.min(Comparator.comparingLong((w) -> this.gateway.workerLimits.waitMs(w, now)));
 	}
 
 }
--- a/src/main/java/io/shallotspur/gateway/EngineStatistics.java
+++ b/src/main/java/io/shallotspur/gateway/EngineStatistics.java
@@ -3,37 +3,38 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What is known of the requests for the engines of one upstream and of the pace at which
- * they are worked on. Immutable.
+ * Statistics about the requests for the engines of one upstream and about their
+ * processing speed. Immutable.
  *
- * @param samples requests that the figures rest on; at least 1
- * @param promptTokens tokens of a prompt, mean
- * @param outputTokens tokens that callers expect of an answer, mean
- * @param reservedTokens memory that is set aside for a request, in tokens, mean
- * @param prefillTokenMs time of a prefill worker for each token, in milliseconds; more
- * than 0
- * @param marginalTokenMs by how much a prefill takes longer for each further token, in
- * milliseconds; 0 if that is not known
- * @param outputTokenMs time between two tokens of an answer, in milliseconds; more than 0
- * @param lengthModel how long answers are against what callers expect
+ * @param samples number of requests behind the statistics; at least 1
+ * @param promptTokens mean number of tokens of a prompt
+ * @param outputTokens mean number of output tokens that callers expect
+ * @param reservedTokens mean memory reserved for a request, in tokens
+ * @param prefillTokenMs time of a prefill worker per token, in milliseconds; more than 0
+ * @param marginalTokenMs additional prefill time for each further token, in milliseconds;
+ * 0 if it is not known
+ * @param outputTokenMs time between two output tokens, in milliseconds; more than 0
+ * @param lengthModel relation of output lengths to the lengths that callers expect
  */
 public record EngineStatistics(int samples, double promptTokens, double outputTokens, double reservedTokens,
 		double prefillTokenMs, double marginalTokenMs, double outputTokenMs, OutputLengthModel lengthModel) {
 
-	/** A decode worker prefills at this part of the speed of a prefill worker. */
+	/**
+	 * Factor by which a prefill takes longer at a decode worker than at a prefill worker.
+	 */
 	public static final double DECODE_PREFILL_SLOWDOWN = 2;
 
 	/**
-	 * Tells whether answers at a decode worker would stand still for too long if it
-	 * prefilled a prompt between their tokens. While it does, each of its answers gets a
-	 * token for each piece of the prompt, and an event takes as long as the whole
-	 * prefill: all answers there become late for one prompt. What a prefill takes
-	 * besides, for the call and the first token, does not hold them up.
+	 * Tells whether responses at a decode worker would stall for too long if it prefilled
+	 * a prompt between their tokens. During the prefill each response gets one token per
+	 * chunk of the prompt, so an event takes as long as the whole prefill and all
+	 * responses there become late for one prompt. The fixed overhead of a prefill, for
+	 * the call and the first token, does not delay them.
 	 * @param tokens tokens of the prompt
 	 * @param eventTokens tokens of an event; 0 if that is not known
-	 * @param maxGapMs the longest pause between events that is on time, in milliseconds; 0
-	 * if any is
-	 * @return whether the pause would be longer
+	 * @param maxGapMs the longest allowed gap between events, in milliseconds; 0 for no
+	 * limit
+	 * @return whether the gap would be longer
 	 */
 	public boolean wouldStall(double tokens, int eventTokens, long maxGapMs) {
 		double pause = DECODE_PREFILL_SLOWDOWN * tokens * this.marginalTokenMs + eventTokens * this.outputTokenMs;
@@ -41,7 +42,7 @@
 	}
 
 	/**
-	 * Returns how long a prefill worker works on a prompt.
+	 * Returns the processing time of a prompt at a prefill worker.
 	 * @return the mean in milliseconds
 	 */
 	public double prefillMs() {
@@ -49,7 +50,7 @@
 	}
 
 	/**
-	 * Returns how long an answer takes from its first event to its last.
+	 * Returns the time from the first event of a response to its last.
 	 * @return the mean in milliseconds
 	 */
 	public double generationMs() {
@@ -57,20 +58,24 @@
 	}
 
 	/**
-	 * Joins what two have seen, each by the number of requests it rests on.
-	 * @param first some figures, or {@code null}
-	 * @param second other figures
-	 * @return figures that rest on the requests of both
+	 * Merges two sets of statistics, weighted by their numbers of samples.
+	 * @param first some statistics, or {@code null}
+	 * @param second other statistics
+	 * @return statistics of the requests of both
 	 */
 	public static EngineStatistics merge(@Nullable EngineStatistics first, EngineStatistics second) {
 		if (first == null) {
 			return second;
 		}
 		double firstWeight = (double) first.samples / (first.samples + second.samples);
-		return new EngineStatistics(first.samples + second.samples, weightedMean(firstWeight, first.promptTokens, second.promptTokens),
-				weightedMean(firstWeight, first.outputTokens, second.outputTokens), weightedMean(firstWeight, first.reservedTokens, second.reservedTokens),
-				weightedMean(firstWeight, first.prefillTokenMs, second.prefillTokenMs), mergeMarginalTokenMs(firstWeight, first, second),
-				weightedMean(firstWeight, first.outputTokenMs, second.outputTokenMs), first.lengthModel.weightedMean(firstWeight, second.lengthModel));
+		return new EngineStatistics(first.samples + second.samples,
+				weightedMean(firstWeight, first.promptTokens, second.promptTokens),
+				weightedMean(firstWeight, first.outputTokens, second.outputTokens),
+				weightedMean(firstWeight, first.reservedTokens, second.reservedTokens),
+				weightedMean(firstWeight, first.prefillTokenMs, second.prefillTokenMs),
+				mergeMarginalTokenMs(firstWeight, first, second),
+				weightedMean(firstWeight, first.outputTokenMs, second.outputTokenMs),
+				first.lengthModel.weightedMean(firstWeight, second.lengthModel));
 	}
 
 	private static double mergeMarginalTokenMs(double firstWeight, EngineStatistics first, EngineStatistics second) {
@@ -85,14 +90,15 @@
 	}
 
 	/**
-	 * Returns these figures as if they rested on no more than so many requests, so that
-	 * newer ones can outweigh them.
-	 * @param maxSamples the most requests
-	 * @return figures that differ in that only
+	 * Returns these statistics with a reduced number of samples, so that newer ones can
+	 * outweigh them.
+	 * @param maxSamples the largest number of samples
+	 * @return statistics that differ in that only
 	 */
 	public EngineStatistics limitSamples(int maxSamples) {
-		return (this.samples <= maxSamples) ? this : new EngineStatistics(maxSamples, this.promptTokens, this.outputTokens,
-				this.reservedTokens, this.prefillTokenMs, this.marginalTokenMs, this.outputTokenMs, this.lengthModel);
+		return (this.samples <= maxSamples) ? this
+				: new EngineStatistics(maxSamples, this.promptTokens, this.outputTokens, this.reservedTokens,
+						this.prefillTokenMs, this.marginalTokenMs, this.outputTokenMs, this.lengthModel);
 	}
 
 }
--- a/src/main/java/io/shallotspur/gateway/EngineTimeEstimator.java
+++ b/src/main/java/io/shallotspur/gateway/EngineTimeEstimator.java
@@ -9,39 +9,40 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What the latest requests of this VM took at the engines of one upstream. Not
+ * Estimates times at the engines of one upstream from recent requests of this VM. Not
  * thread-safe; confined to the gateway's thread.
  * <p>
- * Invariant: nothing is assumed. A time that no request has shown is 0, which refuses
- * nobody. With an assumed time for a token, a VM that had just started took long answers
- * of quick engines for ones that cannot end in time, and refused them beside idle
- * workers.
+ * Invariant: no defaults are assumed. A time that has not been observed is 0, which
+ * causes no refusals. With a default time per token, a VM that had just started
+ * classified long responses of fast engines as unable to complete in time and refused
+ * them although workers were idle.
  */
 public final class EngineTimeEstimator {
 
 	private static final double FIRST_EVENT_WEIGHT = 0.05;
 
-	// As a transport connection weighs its round trips for its timeouts. The last eight
-	// count, and four deviations are hardly ever passed.
+	// The weight that TCP uses for its round-trip time estimates. About the last eight
+	// samples count, and four deviations are rarely exceeded.
 	private static final double PREFILL_WEIGHT = 0.125;
 
 	private static final double TIMEOUT_DEVIATIONS = 4;
 
-	// The last fifty answers or so tell how long a token takes.
+	// The time per token follows about the last fifty responses.
 	private static final double RESPONSE_DECAY = 0.98;
 
-	// A few hundred events: those of a handful of answers.
+	// A few hundred events: those of a handful of responses.
 	private static final double EVENT_DECAY = 0.997;
 
-	// Enough for a steady mean, few enough to follow a change of the traffic.
+	// Enough requests for a steady mean, few enough to follow a change of the traffic.
 	private static final int WINDOW_SIZE = 64;
 
-	// The first answers to end are the short ones, and tell of too short a time for each
-	// token that was expected. Until this many have ended the pace of events goes first.
+	// The first responses to complete are the short ones, and they underestimate the time
+	// per expected token. The pace of events takes precedence until this many have
+	// completed.
 	private static final int MIN_RESPONSES = 8;
 
-	// Fourteen answers in fifteen are no longer than that. What one takes beyond its
-	// place is mostly left by others.
+	// 14 of 15 responses are no longer than that. Memory for a longer one is mostly left
+	// unused by others.
 	private static final double RESERVATION_DEVIATIONS = 1.5;
 
 	private final OutputLengthEstimator outputLengths = new OutputLengthEstimator();
@@ -65,8 +66,8 @@
 	private final SmoothedTime prefillDuration = new SmoothedTime(PREFILL_WEIGHT);
 
 	/**
-	 * Takes a request that has come.
-	 * @param prompt what it says of itself
+	 * Records an incoming request.
+	 * @param prompt the token counts that it declares
 	 */
 	void recordRequest(PromptInfo prompt) {
 		this.recentRequests.addLast(prompt);
@@ -86,29 +87,30 @@
 	}
 
 	/**
-	 * Takes that a prefill gave no answer in its time. The next ones are given twice as
-	 * long: the queue of a burst grows faster than the mean of what has ended.
-	 * @param ms its time in milliseconds
+	 * Records a prefill timeout. The next prefills are given twice as long, because the
+	 * queue in a burst grows faster than the mean of the completed prefills.
+	 * @param ms the timeout in milliseconds
 	 */
 	void recordPrefillTimeout(long ms) {
 		this.prefillDuration.add(2 * ms);
 	}
 
 	/**
-	 * Returns how long a prefill may take, the wait before it included, until its worker
-	 * is taken for lost. With a fixed limit, prompts of a burst would be given up in the
-	 * queue of a prefill worker and read again at a decode worker.
-	 * @return milliseconds: the mean of the latest and four deviations; 0 before the
-	 * first
+	 * Returns how long a prefill may take, including its queue time, until its worker is
+	 * considered lost. With a fixed timeout, prompts of a burst would be abandoned in the
+	 * queue of a prefill worker and prefilled again at a decode worker.
+	 * @return milliseconds: the recent mean and four deviations; 0 before the first
+	 * prefill
 	 */
 	long prefillTimeoutMs() {
 		return (long) this.prefillDuration.estimateMs(TIMEOUT_DEVIATIONS);
 	}
 
 	/**
-	 * Takes that an answer went on. Its pace is known long before it ends.
-	 * @param ms time since its event before, in milliseconds
-	 * @param tokens the tokens of an event; 0 if the operator does not say
+	 * Records an event of a response in progress, which shows the pace long before the
+	 * response completes.
+	 * @param ms time since its previous event, in milliseconds
+	 * @param tokens the tokens of an event; 0 if the operator does not configure it
 	 */
 	void recordEvent(long ms, int tokens) {
 		if (tokens > 0) {
@@ -117,9 +119,9 @@
 	}
 
 	/**
-	 * Takes an answer that has ended.
+	 * Records a completed response.
 	 * @param ms time from its first event to its last, in milliseconds
-	 * @param prompt what its request said of itself
+	 * @param prompt the token counts that its request declared
 	 * @param tokens its length; 0 if that is not known
 	 */
 	void recordResponse(long ms, PromptInfo prompt, int tokens) {
@@ -131,13 +133,14 @@
 	}
 
 	/**
-	 * Returns the memory to be set aside for a request: its prompt and its answer, longer
-	 * than likely by a deviation. Too little makes the worker drop a running request,
-	 * whose answer stands still and whose prompt is read again, and each drop costs more
-	 * than the place that a larger reservation takes from others; the longest possible
-	 * answer for each would leave a good part of the memory unused.
-	 * @param prompt what the request says of itself
-	 * @param receivedTokens tokens of the answer that the caller has already
+	 * Returns the memory to reserve for a request: its prompt and its response, with a
+	 * margin above the expected length. If it is too small, the worker evicts a running
+	 * request, whose response stalls and whose prompt is prefilled again; each eviction
+	 * costs more than the capacity that a larger reservation takes from others. Reserving
+	 * the longest possible response for each would leave a good part of the memory
+	 * unused.
+	 * @param prompt the token counts that the request declares
+	 * @param receivedTokens tokens of the response that the caller has already
 	 * @return tokens
 	 */
 	int reservationTokens(PromptInfo prompt, int receivedTokens) {
@@ -147,8 +150,8 @@
 	}
 
 	/**
-	 * Takes what all VMs together have seen.
-	 * @param statistics the figures
+	 * Sets the statistics shared by all VMs.
+	 * @param statistics the statistics
 	 */
 	public void setSharedStatistics(EngineStatistics statistics) {
 		this.sharedStatistics = statistics;
@@ -156,10 +159,10 @@
 	}
 
 	/**
-	 * Returns how long it takes from a place to the first event, prefill included, for
-	 * four requests in five. A request that is given a place with less time left is
-	 * likely answered late, and the place is lost to one that could be in time.
-	 * @return the running mean and its mean deviation, in milliseconds; 0 before the
+	 * Returns the time from a reservation to the first event, including the prefill, that
+	 * four requests in five stay within. A request that gets a slot with less time left
+	 * is likely to be late, and takes the slot from one that could be on time.
+	 * @return the moving average plus its mean deviation, in milliseconds; 0 before the
 	 * first event
 	 */
 	long timeToFirstEventMs() {
@@ -167,10 +170,10 @@
 	}
 
 	/**
-	 * Returns how long an answer takes from its first event to its last.
+	 * Returns the time from the first event of a response to its last.
 	 * @param expectedTokens the caller's estimate of its tokens
-	 * @return milliseconds, at the pace of recent answers, or at that which other VMs
-	 * have seen; 0 if nothing was seen
+	 * @return milliseconds, at the pace of recent responses, or at that which other VMs
+	 * observed; 0 if no pace is known
 	 */
 	long generationMs(int expectedTokens) {
 		double tokenMs = outputTokenMs();
@@ -180,41 +183,46 @@
 		return (long) (expectedTokens * tokenMs);
 	}
 
-	// For each token that was expected, ms.
+	// Time per expected token, ms.
 	private double outputTokenMs() {
 		boolean useResponsePace = this.completedResponses >= MIN_RESPONSES || !this.eventPace.hasObservations();
 		return useResponsePace ? this.responsePace.value() : this.eventPace.value();
 	}
 
 	/**
-	 * Returns what is known of the requests and the engines.
-	 * @return what this VM has seen since it last told, joined with what all VMs have;
-	 * empty if that says nothing of either stage
+	 * Returns the merged statistics about the requests and the engines.
+	 * @return what this VM observed since it last shared its statistics, merged with
+	 * those of all VMs; empty if neither is available
 	 */
 	public Optional<EngineStatistics> statistics() {
-		EngineStatistics shared = (this.sharedStatistics != null) ? this.sharedStatistics.limitSamples(WINDOW_SIZE) : null;
-		return Optional.ofNullable(unsharedStatistics().map((unshared) -> EngineStatistics.merge(shared, unshared)).orElse(shared));
+		EngineStatistics shared = (this.sharedStatistics != null) ? this.sharedStatistics.limitSamples(WINDOW_SIZE)
+				: null;
+		return Optional.ofNullable(
+				unsharedStatistics().map((unshared) -> EngineStatistics.merge(shared, unshared)).orElse(shared));
 	}
 
 	/**
-	 * Returns what this VM has seen since it last told the others.
-	 * @return the figures, or empty if no request came since, or none has shown a pace
+	 * Returns what this VM observed since it last shared its statistics.
+	 * @return the statistics, or empty if there was no request since, or no pace is known
 	 */
 	public Optional<EngineStatistics> unsharedStatistics() {
 		double outputTokenMs = outputTokenMs();
-		if (this.unsharedRequests == 0 || !this.prefillTimes.isKnown() || outputTokenMs == 0) {
+		if (this.unsharedRequests == 0 || !this.prefillTimes.hasSamples() || outputTokenMs == 0) {
 			return Optional.empty();
 		}
-		List<PromptInfo> newRequests = this.recentRequests.stream().skip(this.recentRequests.size() - this.unsharedRequests).toList();
+		List<PromptInfo> newRequests = this.recentRequests.stream()
+			.skip(this.recentRequests.size() - this.unsharedRequests)
+			.toList();
 		double promptTokens = Math.max(1, mean(newRequests, PromptInfo::promptTokens));
-		return Optional.of(new EngineStatistics(newRequests.size(), promptTokens, mean(newRequests, PromptInfo::expectedOutputTokens),
-				mean(newRequests, (p) -> reservationTokens(p, 0)), this.prefillTimes.estimateMs(promptTokens) / promptTokens, this.prefillTimes.marginalTokenMs(),
+		return Optional.of(new EngineStatistics(newRequests.size(), promptTokens,
+				mean(newRequests, PromptInfo::expectedOutputTokens), mean(newRequests, (p) -> reservationTokens(p, 0)),
+				this.prefillTimes.estimateMs(promptTokens) / promptTokens, this.prefillTimes.marginalTokenMs(),
 				outputTokenMs, this.outputLengths.model()));
 	}
 
 	/**
-	 * Takes that the others have been told.
-	 * @param shared what they were told of this VM's requests
+	 * Marks statistics as shared with the other VMs.
+	 * @param shared the shared statistics of this VM's requests
 	 */
 	public void markShared(EngineStatistics shared) {
 		this.unsharedRequests = Math.max(0, this.unsharedRequests - shared.samples());
--- a/src/main/java/io/shallotspur/gateway/EventTiming.java
+++ b/src/main/java/io/shallotspur/gateway/EventTiming.java
@@ -1,8 +1,8 @@
 package io.shallotspur.gateway;
 
 /**
- * The events of one answer as they come, over all of its attempts. Not thread-safe;
- * confined to the gateway's thread.
+ * The arrival times of the events of one response, over all of its attempts. Not
+ * thread-safe; confined to the gateway's thread.
  */
 final class EventTiming {
 
@@ -13,9 +13,9 @@
 	private long maxGapMs;
 
 	/**
-	 * Takes an event.
+	 * Records an event.
 	 * @param now the present time in milliseconds
-	 * @return the pause before it, or 0 if it is the first
+	 * @return the gap before it, or 0 if it is the first
 	 */
 	long recordEvent(long now) {
 		long gapMs = (this.eventCount > 0) ? now - this.lastEventAt : 0;
@@ -30,7 +30,7 @@
 	}
 
 	/**
-	 * Returns when the latest event came.
+	 * Returns when the latest event arrived.
 	 * @return the time in milliseconds; 0 before the first
 	 */
 	long lastEventAt() {
--- a/src/main/java/io/shallotspur/gateway/KvSource.java
+++ b/src/main/java/io/shallotspur/gateway/KvSource.java
@@ -1,7 +1,7 @@
 package io.shallotspur.gateway;
 
 /**
- * The KV cache that a prefill left at a worker. Immutable.
+ * A reference to the KV cache that a prefill left at a worker. Immutable.
  *
  * @param worker the worker that holds it
  * @param handle its name there; can be used once
--- a/src/main/java/io/shallotspur/gateway/LoadReport.java
+++ b/src/main/java/io/shallotspur/gateway/LoadReport.java
@@ -1,11 +1,11 @@
 package io.shallotspur.gateway;
 
 /**
- * What a worker said of its load beside an answer. Immutable.
+ * The load that a worker reports along with a response. Immutable.
  *
- * @param running requests it works on
- * @param waiting requests in its queue
- * @param slots requests it works on at once
+ * @param running number of requests that it runs
+ * @param waiting number of requests in its queue
+ * @param slots number of requests that it runs concurrently at most
  */
 public record LoadReport(int running, int waiting, int slots) {
 
--- a/src/main/java/io/shallotspur/gateway/OutputLengthEstimator.java
+++ b/src/main/java/io/shallotspur/gateway/OutputLengthEstimator.java
@@ -1,23 +1,23 @@
 package io.shallotspur.gateway;
 
 /**
- * How long answers are against what their callers expected. Not thread-safe; confined to
- * the gateway's thread.
+ * Estimates output lengths from the lengths that callers expect. Not thread-safe;
+ * confined to the gateway's thread.
  * <p>
- * A caller's estimate is right at the median only and often far off; short estimates are
- * mostly too short and long ones too long. So the length is estimated by a regression of
- * the logarithms of both, over the answers that have ended lately, which begins with what
- * other VMs have seen, or with the estimates as they are.
+ * A caller's estimate is correct only at the median and often far off; short estimates
+ * are mostly too short and long ones too long. The length is therefore estimated by a
+ * regression of the logarithms of both, over the recently completed responses. Its prior
+ * is the model of other VMs, or the estimates as they are.
  */
 final class OutputLengthEstimator {
 
-	// The last fifty answers or so.
+	// About the last fifty responses count.
 	private static final double DECAY = 0.98;
 
-	// What was believed before counts as much as so many answers.
+	// Weight of the prior, as a number of responses.
 	private static final double PRIOR_WEIGHT = 4;
 
-	// The variance that the logarithms of the believed estimates are given.
+	// Variance of the logarithms of the estimates behind the prior.
 	private static final double PRIOR_VARIANCE = 0.1;
 
 	private OutputLengthModel prior = OutputLengthModel.PRIOR;
@@ -35,17 +35,17 @@
 	private double sumYy;
 
 	/**
-	 * Takes what other VMs have seen.
-	 * @param model their line
+	 * Sets the model of other VMs as the prior.
+	 * @param model their model
 	 */
 	void setPrior(OutputLengthModel model) {
 		this.prior = model;
 	}
 
 	/**
-	 * Takes an answer that has ended.
-	 * @param expected what its caller expected, in tokens
-	 * @param actual what it was, in tokens
+	 * Adds a completed response.
+	 * @param expected the length that its caller expected, in tokens
+	 * @param actual its length, in tokens
 	 */
 	void add(int expected, int actual) {
 		double logExpected = Math.log(Math.max(1, expected));
@@ -59,8 +59,8 @@
 	}
 
 	/**
-	 * Returns the line as it is known now.
-	 * @return the line
+	 * Returns the current model.
+	 * @return the model
 	 */
 	OutputLengthModel model() {
 		if (this.count == 0) {
@@ -71,13 +71,14 @@
 		double varX = Math.max(0, this.sumXx / this.count - meanX * meanX);
 		double cov = this.sumXy / this.count - meanX * meanY;
 		double varY = Math.max(0, this.sumYy / this.count - meanY * meanY);
-		OutputLengthModel modelPrior = this.prior;
+		OutputLengthModel priorModel = this.prior;
 		double weight = this.count / (this.count + PRIOR_WEIGHT);
-		double slope = (this.count * cov + PRIOR_WEIGHT * PRIOR_VARIANCE * modelPrior.slope())
+		double slope = (this.count * cov + PRIOR_WEIGHT * PRIOR_VARIANCE * priorModel.slope())
 				/ (this.count * varX + PRIOR_WEIGHT * PRIOR_VARIANCE);
-		double centerY = weight * meanY + (1 - weight) * modelPrior.estimateLogTokens(meanX);
+		double centerY = weight * meanY + (1 - weight) * priorModel.estimateLogTokens(meanX);
 		double residualVariance = Math.max(0, varY - 2 * slope * cov + slope * slope * varX);
-		double deviation = Math.sqrt(weight * residualVariance + (1 - weight) * modelPrior.deviation() * modelPrior.deviation());
+		double deviation = Math
+			.sqrt(weight * residualVariance + (1 - weight) * priorModel.deviation() * priorModel.deviation());
 		return new OutputLengthModel(centerY - slope * meanX, slope, deviation);
 	}
 
--- a/src/main/java/io/shallotspur/gateway/OutputLengthModel.java
+++ b/src/main/java/io/shallotspur/gateway/OutputLengthModel.java
@@ -1,27 +1,28 @@
 package io.shallotspur.gateway;
 
 /**
- * How the lengths of answers follow from what callers expect, as a line through the
- * logarithms of both. Immutable.
+ * A log-linear model of the output length as a function of the length that the caller
+ * expects. Immutable.
  *
- * @param intercept the logarithm of an answer that is expected to have one token
- * @param slope by what the logarithm of an answer grows with that of its estimate: 1
- * where estimates are right, 0 where they say nothing
- * @param deviation the deviation of the logarithm of an answer from the line
+ * @param intercept the logarithm of the length of a response that is expected to have one
+ * token
+ * @param slope the growth of the logarithm of the length with that of its estimate: 1
+ * where estimates are accurate, 0 where they carry no information
+ * @param deviation the standard deviation of the logarithm of the length from the model
  */
 public record OutputLengthModel(double intercept, double slope, double deviation) {
 
-	// What is believed before any answer has ended: a longer estimate means an answer
-	// longer by as much, and answers are longer or shorter than estimated by a third.
+	// Prior before any response has completed: lengths are proportional to the estimates,
+	// and longer or shorter than these by a third.
 	private static final double PRIOR_DEVIATION = 0.3;
 
-	/** Each estimate stands for itself. */
+	/** The model in which each estimate is taken as it is. */
 	public static final OutputLengthModel PRIOR = new OutputLengthModel(0, 1, PRIOR_DEVIATION);
 
 	/**
-	 * Estimates the length of an answer.
-	 * @param expected what its caller expects, in tokens
-	 * @param deviations by how many deviations it may be longer than the line says
+	 * Estimates the length of a response.
+	 * @param expected the length that its caller expects, in tokens
+	 * @param deviations number of deviations to add to the estimate
 	 * @return tokens
 	 */
 	public double estimateTokens(int expected, double deviations) {
@@ -33,7 +34,7 @@
 	}
 
 	/**
-	 * Returns a line between two.
+	 * Returns the weighted mean of two models.
 	 * @param weight the weight of this one, from 0 to 1
 	 * @param other the other one
 	 * @return the weighted mean of both
@@ -41,7 +42,8 @@
 	public OutputLengthModel weightedMean(double weight, OutputLengthModel other) {
 		double thisWeight = weight;
 		double otherWeight = 1 - weight;
-		return new OutputLengthModel(thisWeight * this.intercept + otherWeight * other.intercept, thisWeight * this.slope + otherWeight * other.slope,
+		return new OutputLengthModel(thisWeight * this.intercept + otherWeight * other.intercept,
+				thisWeight * this.slope + otherWeight * other.slope,
 				thisWeight * this.deviation + otherWeight * other.deviation);
 	}
 
--- a/src/main/java/io/shallotspur/gateway/PrefillStep.java
+++ b/src/main/java/io/shallotspur/gateway/PrefillStep.java
@@ -5,10 +5,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A prefill at a worker of its own, before the request is sent to its decode worker. Not
- * thread-safe; confined to the gateway's thread.
+ * A prefill at a separate prefill worker, before the request is sent to its decode
+ * worker. Not thread-safe; confined to the gateway's thread.
  * <p>
- * Invariant: a KV cache that became ready is either handed to the task or freed.
+ * Invariant: a KV cache that became ready is either passed to the callback or released.
  */
 final class PrefillStep implements PrefillListener {
 
@@ -20,7 +20,7 @@
 
 	private final Consumer<Result> callback;
 
-	private final Runnable workerTerminationListener = () -> onFailure(new ExchangeFailure(true, "worker started again"));
+	private final Runnable workerTerminationListener = () -> onFailure(new ExchangeFailure(true, "worker restarted"));
 
 	private @Nullable Exchange exchange;
 
@@ -36,7 +36,7 @@
 	 * @param gateway the gateway
 	 * @param worker the prefill worker
 	 * @param prompt the prompt
-	 * @param callback told of the result, once, unless the step is cancelled
+	 * @param callback receives the result, once, unless the step is cancelled
 	 */
 	PrefillStep(Gateway gateway, WorkerState worker, PromptInfo prompt, Consumer<Result> callback) {
 		this.gateway = gateway;
@@ -52,7 +52,7 @@
 		this.worker.addTerminationListener(this.workerTerminationListener);
 		this.cancelTimer = this.gateway.timer.schedule(timeoutMs, () -> {
 			this.gateway.engineTimes(this.worker.info().upstream()).recordPrefillTimeout(timeoutMs);
-			onFailure(new ExchangeFailure(true, "no answer"));
+			onFailure(new ExchangeFailure(true, "no response"));
 		});
 		Exchange e = this.gateway.workerPort.prefill(call, this);
 		this.exchange = e;
@@ -78,14 +78,16 @@
 			return;
 		}
 		finish();
-		this.gateway.engineTimes(this.worker.info().upstream()).recordPrefill(this.gateway.clock.getAsLong() - this.startedAt, this.prompt);
+		this.gateway.engineTimes(this.worker.info().upstream())
+			.recordPrefill(this.gateway.clock.getAsLong() - this.startedAt, this.prompt);
 		this.callback.accept(new Result(source, null, false));
 	}
 
 	@Override
 	public void onRefused(String reason, boolean instanceReplaced) {
 		if (instanceReplaced) {
-			this.gateway.roster.instanceReplaced(this.worker.info().id(), WorkerStage.PREFILL, this.gateway.clock.getAsLong());
+			this.gateway.roster.instanceReplaced(this.worker.info().id(), WorkerStage.PREFILL,
+					this.gateway.clock.getAsLong());
 		}
 		if (!this.finished) {
 			finish();
@@ -97,8 +99,8 @@
 	public void onFailure(ExchangeFailure failure) {
 		if (!this.finished) {
 			cancel();
-			// An answer that does not come, or a connection that cannot be made: the next
-			// prompts are better off elsewhere for a while.
+			// After a timeout or a failed connection, the next prompts are sent elsewhere
+			// for a while.
 			this.worker.markUnreachable(this.gateway.clock.getAsLong());
 			this.callback.accept(new Result(null, failure.reason(), false));
 		}
@@ -122,12 +124,11 @@
 	}
 
 	/**
-	 * How a prefill ended. Immutable.
+	 * The result of a prefill. Immutable.
 	 *
 	 * @param source the KV cache, or {@code null} if there is none
-	 * @param failure what was seen if there is none
-	 * @param refused whether the worker turned the prefill away; that counts as an
-	 * attempt
+	 * @param failure the failure if there is no KV cache
+	 * @param refused whether the worker refused the prefill; that counts as an attempt
 	 */
 	record Result(@Nullable KvSource source, @Nullable String failure, boolean refused) {
 
--- a/src/main/java/io/shallotspur/gateway/PrefillTimeEstimator.java
+++ b/src/main/java/io/shallotspur/gateway/PrefillTimeEstimator.java
@@ -5,18 +5,19 @@
 import java.util.List;
 
 /**
- * What the latest prefills took for prompts of different lengths. Not thread-safe;
- * confined to the gateway's thread.
+ * Estimates prefill times from the durations of recent prefills of different lengths. Not
+ * thread-safe; confined to the gateway's thread.
  */
 final class PrefillTimeEstimator {
 
-	// Enough for a steady mean, few enough to follow a change of the traffic.
+	// Enough samples for a steady mean, few enough to follow a change of the traffic.
 	private static final int WINDOW_SIZE = 64;
 
-	// The quarter of the prefills that waited least; their time is that of the work.
+	// The quarter of the prefills with the shortest queue time; their duration is taken
+	// as pure processing time.
 	private static final double UNQUEUED_QUANTILE = 0.25;
 
-	// A slope through fewer prefills is that of their waits in the queue.
+	// With fewer samples the slope would reflect the queue times.
 	private static final int MIN_SAMPLES_FOR_SLOPE = 8;
 
 	private final Deque<Sample> samples = new ArrayDeque<>();
@@ -28,14 +29,14 @@
 		}
 	}
 
-	boolean isKnown() {
+	boolean hasSamples() {
 		return !this.samples.isEmpty();
 	}
 
 	/**
-	 * Returns how long a worker works on a prompt: what each token adds, and what every
-	 * prefill takes besides. Waits in the queue are left out; counted as work, they make
-	 * prefill workers look busy right when decode workers need them.
+	 * Returns the processing time of a prompt: the time per token plus a fixed overhead.
+	 * Queue times are excluded; counted as processing time, they would make prefill
+	 * workers look busy just when decode workers need them.
 	 * @param tokens tokens of the prompt
 	 * @return milliseconds
 	 */
@@ -44,7 +45,8 @@
 		if (marginalMs == 0) {
 			return tokens * unqueuedQuantile(this.samples.stream().map((p) -> p.ms() / p.tokens()).sorted().toList());
 		}
-		double fixedMs = unqueuedQuantile(this.samples.stream().map((p) -> p.ms() - marginalMs * p.tokens()).sorted().toList());
+		double fixedMs = unqueuedQuantile(
+				this.samples.stream().map((p) -> p.ms() - marginalMs * p.tokens()).sorted().toList());
 		return Math.max(1, fixedMs + marginalMs * tokens);
 	}
 
@@ -53,9 +55,9 @@
 	}
 
 	/**
-	 * Returns by how much a prefill takes longer for each further token: the median slope
-	 * between any two prefills, on which those that waited in a queue have little weight.
-	 * @return milliseconds; 0 if that is not known
+	 * Returns the marginal time per token: the median slope between any two prefills, on
+	 * which queued prefills have little influence.
+	 * @return milliseconds; 0 if it is not known
 	 */
 	double marginalTokenMs() {
 		if (this.samples.size() < MIN_SAMPLES_FOR_SLOPE) {
--- a/src/main/java/io/shallotspur/gateway/PromptInfo.java
+++ b/src/main/java/io/shallotspur/gateway/PromptInfo.java
@@ -1,12 +1,12 @@
 package io.shallotspur.gateway;
 
 /**
- * What a request says of its prompt. Immutable.
+ * The token counts that a request declares. Immutable.
  *
  * @param promptTokens tokens of the prompt
- * @param maxOutputTokens most tokens of the answer
- * @param expectedOutputTokens the caller's estimate of the tokens of the answer; right at
- * the median and often far off
+ * @param maxOutputTokens largest number of output tokens
+ * @param expectedOutputTokens the caller's estimate of the output tokens; correct at the
+ * median and often far off
  */
 public record PromptInfo(int promptTokens, int maxOutputTokens, int expectedOutputTokens) {
 
--- a/src/main/java/io/shallotspur/gateway/RequestPlacement.java
+++ b/src/main/java/io/shallotspur/gateway/RequestPlacement.java
@@ -12,39 +12,41 @@
 import io.shallotspur.route.UpstreamSpec;
 
 /**
- * Finds the worker of each attempt of one request, and what it takes to run there: for a
- * plain call a worker, for a model request a reserved place at a decode worker and, if it
- * is the shorter way, the KV cache from a prefill worker. Not thread-safe; confined to
- * the gateway's thread.
+ * Selects the worker for each attempt of one request and acquires what the attempt needs:
+ * for a plain call a worker, for a model request a reservation at a decode worker and, if
+ * it is faster, the KV cache from a prefill worker. Not thread-safe; confined to the
+ * gateway's thread.
  * <p>
- * Invariants: a reservation or KV cache that was got and not handed on is given back;
- * {@link Callback} is told once for each {@link #start}, unless {@link #cancel} comes first.
+ * Invariants: a reservation or KV cache that was acquired and not passed on is released;
+ * {@link Callback} receives exactly one result for each {@link #start}, unless
+ * {@link #cancel} comes first.
  */
 final class RequestPlacement implements ReservationQueue.PendingRequest {
 
-	// A late answer is still worth something to the caller, but one who has waited for
-	// twice its objective while others go first is told at once to come back after the
-	// burst, and not when it is about to leave: callers leave after four objectives.
+	// A late response still has some value for the caller, but a request that has waited
+	// for twice its objective while others are served first is refused, so that the
+	// caller can retry after the burst. Callers give up after four objectives; refusing
+	// just before that would be too late.
 	private static final double MAX_WAIT_OBJECTIVES = 2;
 
-	// A prefill takes some 100 ms; one without an answer in several times that is at a
-	// worker that is cut off, ms.
+	// A prefill takes about 100 ms; if there is no response within several times that,
+	// the worker is taken to be unreachable, ms.
 	private static final long MIN_PREFILL_TIMEOUT_MS = 400;
 
-	// A call that is sent this long before its reservation ends arrives in time, ms.
+	// A call that is sent this long before its reservation expires arrives in time, ms.
 	private static final long RESERVATION_MARGIN_MS = 50;
 
-	// The part of a reservation that a prefill may use up; the rest is for the call that
-	// follows it.
+	// Fraction of the reservation that a prefill may use; the remainder is for the call
+	// that follows it.
 	private static final double RESERVATION_PREFILL_FRACTION = 0.6;
 
-	// Of the time to the first event the rest is left for a decode worker that has to
-	// prefill by itself after all.
+	// Fraction of the time to the first event that a prefill may use. The remainder is
+	// for a decode worker that has to prefill by itself after all.
 	private static final double TARGET_PREFILL_FRACTION = 0.6;
 
-	// The part of the time to its latest start that a request waits at most for a limit.
-	// While more come than the limits let through, all who are let through wait so long,
-	// and their answers must not be late for the next small delay.
+	// Fraction of the time to its latest start that a request may wait for a rate limit.
+	// While demand exceeds the limits, all requests that are sent wait this long, and a
+	// further small delay must not make their responses late.
 	private static final double LIMIT_WAIT_FRACTION = 0.5;
 
 	private static final int MAX_PRIORITY = 9;
@@ -95,15 +97,16 @@
 
 	private long waitStartedAt;
 
-	RequestPlacement(Gateway gateway, AdmittedRequest admitted, String upstream, @Nullable UpstreamSpec upstreamSpec, Callback callback, long arrivedAt,
-			long deadline) {
+	RequestPlacement(Gateway gateway, AdmittedRequest admitted, String upstream, @Nullable UpstreamSpec upstreamSpec,
+			Callback callback, long arrivedAt, long deadline) {
 		this.gateway = gateway;
 		this.admitted = admitted;
 		this.route = admitted.route();
 		this.request = admitted.request();
 		this.upstream = upstream;
 		this.engine = (upstreamSpec != null) ? upstreamSpec.engine() : null;
-		this.candidates = new Candidates(gateway, upstream, (upstreamSpec != null) ? upstreamSpec.connectionLimit() : Integer.MAX_VALUE);
+		this.candidates = new Candidates(gateway, upstream,
+				(upstreamSpec != null) ? upstreamSpec.connectionLimit() : Integer.MAX_VALUE);
 		this.callback = callback;
 		this.arrivedAt = arrivedAt;
 		this.deadline = deadline;
@@ -111,9 +114,10 @@
 	}
 
 	void start(long now) {
-		// A caller whose answer broke off after some seconds waits for its next event
-		// as long as for its first. Counted from its arrival its patience would be over,
-		// and an answer that could go on elsewhere would end.
+		// A caller whose response broke off after some seconds waits as long for its next
+		// event as for its first. Measured from the arrival of the request, the maximum
+		// wait would be over, and a response that could continue at another worker would
+		// end.
 		this.waitStartedAt = now;
 		EngineSpec engineSpec = this.engine;
 		boolean reserves = engineSpec != null && engineSpec.holdMs() > 0 && this.request.prompt() != null;
@@ -134,15 +138,16 @@
 		}
 		else {
 			WorkerSelector.leastCost(candidates(now), this.gateway.settings.hall(), this.gateway.random, now)
-				.ifPresentOrElse((w) -> prefillOrSend(w, now), () -> this.callback.onRefused(RefusalReason.WORKERS_FULL, now));
+				.ifPresentOrElse((w) -> prefillOrSend(w, now),
+						() -> this.callback.onRefused(RefusalReason.WORKERS_FULL, now));
 		}
 	}
 
 	/**
 	 * Returns how long it takes until a worker may be sent another request.
 	 * @param now the present time in milliseconds
-	 * @return milliseconds; 0 if one names no limit or has room, {@link Long#MAX_VALUE}
-	 * if that is not known
+	 * @return milliseconds; 0 if a worker has no rate limit or has capacity left,
+	 * {@link Long#MAX_VALUE} if the time is not known
 	 */
 	long rateLimitWaitMs(long now) {
 		return this.candidates.soonestAvailable(stage(), this.triedWorkers, now)
@@ -187,7 +192,7 @@
 	}
 
 	/**
-	 * Returns when the newest reservation was got.
+	 * Returns when the latest reservation was acquired.
 	 * @return the time in milliseconds, or 0 if there was none
 	 */
 	long reservedAt() {
@@ -204,7 +209,7 @@
 	}
 
 	/**
-	 * Returns what a worker has to do to run the request.
+	 * Returns the stage at which the request runs.
 	 * @return the stage
 	 */
 	WorkerStage stage() {
@@ -214,7 +219,8 @@
 	@Override
 	public int requiredTokens() {
 		PromptInfo p = this.request.prompt();
-		return (p != null) ? this.gateway.engineTimes(this.upstream).reservationTokens(p, this.callback.receivedTokens()) : 0;
+		return (p != null)
+				? this.gateway.engineTimes(this.upstream).reservationTokens(p, this.callback.receivedTokens()) : 0;
 	}
 
 	@Override
@@ -224,7 +230,8 @@
 
 	@Override
 	public long latestStart() {
-		return this.firstArrivalAt + this.route.targetMs() - this.gateway.engineTimes(this.upstream).timeToFirstEventMs();
+		return this.firstArrivalAt + this.route.targetMs()
+				- this.gateway.engineTimes(this.upstream).timeToFirstEventMs();
 	}
 
 	@Override
@@ -234,15 +241,15 @@
 	}
 
 	/**
-	 * Returns how long the rest of the answer will likely take once it goes on. A request
-	 * that is placed with less time than that left holds memory for seconds, and its
-	 * caller's deadline passes in the middle of its answer.
-	 * @return milliseconds; 0 if the request does not say how long it is
+	 * Returns the expected time to generate the rest of the response. A request that is
+	 * placed with less time left holds memory for seconds, and its caller's deadline
+	 * passes in the middle of the response.
+	 * @return milliseconds; 0 if the request does not state its length
 	 */
 	long generationMs() {
 		PromptInfo p = this.request.prompt();
-		return (p != null)
-				? this.gateway.engineTimes(this.upstream).generationMs(Math.max(0, p.expectedOutputTokens() - this.callback.receivedTokens())) : 0;
+		return (p != null) ? this.gateway.engineTimes(this.upstream)
+			.generationMs(Math.max(0, p.expectedOutputTokens() - this.callback.receivedTokens())) : 0;
 	}
 
 	@Override
@@ -279,9 +286,10 @@
 	}
 
 	private void prefillOrSend(PromptInfo prompt, boolean retry, long now) {
-		List<WorkerState> prefillWorkers = this.candidates.available(WorkerStage.PREFILL, this.triedPrefillWorkers, now);
-		Optional<WorkerState> prefillWorker = PrefillSelector.select(prompt, prefillWorkers, this.target, wouldStall(prompt), this.gateway.settings.hall(),
-				this.gateway.random, now);
+		List<WorkerState> prefillWorkers = this.candidates.available(WorkerStage.PREFILL, this.triedPrefillWorkers,
+				now);
+		Optional<WorkerState> prefillWorker = PrefillSelector.select(prompt, prefillWorkers, this.target,
+				wouldStall(prompt), this.gateway.settings.hall(), this.gateway.random, now);
 		if (prefillWorker.isEmpty() || (retry && !this.callback.mayRetryPrefill(now))) {
 			send(now);
 			return;
@@ -289,8 +297,10 @@
 		this.prefillAttempted = true;
 		this.triedPrefillWorkers.add(prefillWorker.get().info().id());
 		this.prefillStep = new PrefillStep(this.gateway, prefillWorker.get(), prompt, this::onPrefillResult);
-		this.prefillStep.start(new WorkerCall(this.request, prefillWorker.get().info(), Math.max(1, this.deadline - now), priority(),
-				this.callback.lastEventId(), null, null, this.admitted.customerName()), prefillTimeoutMs());
+		this.prefillStep.start(
+				new WorkerCall(this.request, prefillWorker.get().info(), Math.max(1, this.deadline - now), priority(),
+						this.callback.lastEventId(), null, null, this.admitted.customerName()),
+				prefillTimeoutMs());
 	}
 
 	private boolean wouldStall(PromptInfo prompt) {
@@ -300,7 +310,7 @@
 			.isPresent();
 	}
 
-	// As long as prefills take lately; the reservation must outlast it.
+	// Follows the duration of recent prefills, within the lifetime of the reservation.
 	private long prefillTimeoutMs() {
 		long defaultMs = Math.max(MIN_PREFILL_TIMEOUT_MS, (long) (this.route.targetMs() * TARGET_PREFILL_FRACTION));
 		long maxMs = Math.max(defaultMs, (long) (RESERVATION_PREFILL_FRACTION * reservationMs()));
@@ -346,20 +356,22 @@
 			worker.limit().releaseReservation();
 		}
 		this.triedWorkers.add(worker.info().id());
-		WorkerCall call = new WorkerCall(this.request, worker.info(), Math.max(1, this.deadline - now), priority(), null,
-				this.source, this.reservation, this.admitted.customerName());
+		WorkerCall call = new WorkerCall(this.request, worker.info(), Math.max(1, this.deadline - now), priority(),
+				null, this.source, this.reservation, this.admitted.customerName());
 		this.target = null;
 		this.source = null;
 		this.reservation = null;
 		this.callback.onReady(worker, call, now);
 	}
 
-	// A place is lost when its worker starts again while the prompt is read elsewhere, or
-	// when that takes too long. Sent all the same, the request would be let in without
-	// memory of its own, and a running one be dropped for it. It is of no use either at a
-	// worker that leaves: the request would come late, and its answer break off.
+	// A reservation is lost when its worker restarts while the prompt is prefilled
+	// elsewhere, or when that takes too long. If sent without it, the request would be
+	// admitted without memory of its own, and a running request would be evicted for it.
+	// A reservation at a draining worker is of no use either: the request would arrive
+	// late, and its response would break off.
 	private boolean isReservationValid(WorkerState w, long now) {
-		return w.isActive(now) && this.gateway.roster.isCurrentInstance(w.info()) && now < this.reservedAt + reservationMs() - RESERVATION_MARGIN_MS;
+		return w.isActive(now) && this.gateway.roster.isCurrentInstance(w.info())
+				&& now < this.reservedAt + reservationMs() - RESERVATION_MARGIN_MS;
 	}
 
 	private boolean isCacheValid(KvSource s, long now) {
@@ -367,7 +379,8 @@
 		return this.gateway.roster.isCurrentInstance(s.worker()) && (ttl <= 0 || now - this.prefilledAt < ttl);
 	}
 
-	// What was read stays of use for a fraction of a second.
+	// The KV cache stays usable for a fraction of a second and is kept for the next
+	// reservation.
 	private void restart(long now) {
 		KvSource cache = this.source;
 		this.source = null;
@@ -377,7 +390,7 @@
 	}
 
 	/**
-	 * Gives up what is under way and gives back what was got.
+	 * Cancels the operations in progress and releases the acquired resources.
 	 */
 	void cancel() {
 		if (this.ticket != null) {
@@ -405,30 +418,31 @@
 	}
 
 	/**
-	 * Hears where the request goes.
+	 * Receives the results of the placement and answers its questions about the request.
 	 */
 	interface Callback {
 
-		// Send the call.
+		// A worker is selected; send the call.
 		void onReady(WorkerState worker, WorkerCall call, long now);
 
-		// No worker takes it.
+		// No worker accepts the request.
 		void onRefused(RefusalReason reason, long now);
 
-		// A prefill was refused, which counts as an attempt: is another allowed?
+		// A prefill was refused, which counts as an attempt. Is another attempt allowed?
 		boolean mayContinueAfterRefusedPrefill(long now);
 
-		// Only the first prefill that a worker takes is free of the attempts and of the
-		// budget. May another one be spent, and the request be run after it?
+		// Only the first prefill that a worker accepts is exempt from the attempt limit
+		// and the retry budget. May another one be charged to them, and the request be
+		// run after it?
 		boolean mayRetryPrefill(long now);
 
-		// Tokens of the answer that the caller has, as far as that is known.
+		// Tokens of the response that the caller has received, as far as that is known.
 		int receivedTokens();
 
-		// The event after which the answer is to go on, if the caller has its beginning.
+		// The event after which the response resumes, if the caller has its beginning.
 		@Nullable String lastEventId();
 
-		// Something for the log.
+		// Logs a message.
 		void log(String message, long now);
 
 	}
--- a/src/main/java/io/shallotspur/gateway/ReservationListener.java
+++ b/src/main/java/io/shallotspur/gateway/ReservationListener.java
@@ -1,36 +1,36 @@
 package io.shallotspur.gateway;
 
 /**
- * Hears what becomes of a call for a reservation, on the gateway's thread. One of the
+ * Receives the result of a reservation call, on the gateway's thread. Exactly one of the
  * methods other than {@link #onStatus} is called, once.
  */
 public interface ReservationListener {
 
 	/**
-	 * What the worker says of itself, before what follows.
-	 * @param status the news
+	 * Receives the worker's status, before the result.
+	 * @param status the status
 	 */
 	void onStatus(WorkerStatus status);
 
 	/**
-	 * A place and memory are reserved.
+	 * A slot and memory are reserved.
 	 * @param reservation the reservation's name at the worker; can be used once
 	 */
 	void onReserved(String reservation);
 
 	/**
-	 * The worker has no room.
+	 * The worker has no capacity.
 	 */
 	void onNoCapacity();
 
 	/**
-	 * Another incarnation has the worker's address.
+	 * Another instance has the worker's address.
 	 */
 	void onInstanceReplaced();
 
 	/**
-	 * The worker did not answer.
-	 * @param failure what was seen
+	 * The worker did not respond.
+	 * @param failure the failure
 	 */
 	void onFailure(ExchangeFailure failure);
 
--- a/src/main/java/io/shallotspur/gateway/ReservationQueue.java
+++ b/src/main/java/io/shallotspur/gateway/ReservationQueue.java
@@ -13,60 +13,61 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Where requests of one model upstream wait for a place and memory at a decode worker.
- * Not thread-safe; confined to the gateway's thread.
+ * The queue of requests of one model upstream that wait for a slot and memory at a decode
+ * worker. Not thread-safe; confined to the gateway's thread.
  * <p>
- * Answers a burst of twice what the decode workers' memory bears. Each VM sees only its
- * own requests, so none knows whether a worker has room; a request that is sent to a full
- * worker comes back refused, its prefill is lost, and a route with one attempt has no
- * other. So a place is reserved first: the worker is the only one who counts its places
- * exactly. Requests that find none wait here and not inside a worker, where one that is
- * urgent could not pass the others.
+ * Designed for bursts of twice the load that the decode workers' memory can hold. Each VM
+ * sees only its own requests, so none knows whether a worker has capacity; a request that
+ * is sent to a full worker is refused, its prefill is lost, and a route with one attempt
+ * has no other. So a slot is reserved first: only the worker counts its slots exactly.
+ * Requests that get none wait here and not inside a worker, where an urgent one could not
+ * overtake the others.
  * <p>
- * Those who can still be answered in time go before those who cannot, who get a place
- * only while nobody else waits; within both the more urgent goes first, then the one that
- * has to start first. While places free up more slowly than callers come, the newest goes
- * first instead: served in the order of their latest start, all would get their place
- * when it is all but too late, and every delay after that makes the answer late. The one
- * that has waited longest is the one that is late in any case. The same holds among the
- * late: what a place takes to lead to an answer is an estimate that grows in a burst, and
- * with the oldest first all who come after it would be late as well, long after the
- * burst.
+ * Requests that can still be answered on time are served before late ones, which get a
+ * slot only while no other request waits. Within both groups the order is by priority,
+ * then by latest start. While slots free up more slowly than requests arrive, the newest
+ * is served first instead: in the order of their latest start, all would get their slot
+ * just before it is too late, and any further delay would make the response late. The
+ * request that has waited longest is the one that is late in any case. The same holds
+ * among late requests: the time from a slot to the first event is an estimate that grows
+ * in a burst, and with the oldest first all later arrivals would be late as well, long
+ * after the burst.
  * <p>
- * When a request of this VM ends its worker is asked at once, since a place has just
- * become free there; otherwise a worker that has refused is left alone for a while
+ * When a request of this VM ends, its worker is called at once, since a slot has just
+ * become free there; otherwise a worker that has refused is skipped temporarily
  * ({@link RecentRefusals}).
  */
 final class ReservationQueue {
 
-	// A worker with 10 places and answers of 3 s frees one each 300 ms; asking it more
-	// often than that is mostly in vain, ms.
+	// A worker with 10 slots and responses of 3 s frees a slot every 300 ms; calling it
+	// more often than that is mostly unsuccessful, ms.
 	private static final long FULL_BACKOFF_MS = 150;
 
-	// A place that has become free is left this long to other VMs whose callers can
-	// still be answered in time, before it goes to a caller who is late in any case, ms:
-	// twice the time in which each of them asks again. A VM that serves all callers has
-	// nobody to leave it to.
+	// A freed slot is left for this time to other VMs with requests that can still be on
+	// time, before it goes to a request that is late in any case, ms: twice the interval
+	// at which each of them retries. A VM that serves all callers has no other VM to
+	// leave it to.
 	private static final long LATE_BACKOFF_MS = 300;
 
-	// Between two questions while all workers turn out to be full, ms. With a hundred
-	// workers and as many VMs each VM would ask 270 times a second otherwise, and spend
-	// its processor and theirs on refusals.
+	// Interval between calls while all workers are full, ms. With 100 workers and 100
+	// VMs, each VM would otherwise make 270 calls a second and spend its CPU time and
+	// theirs on refusals.
 	private static final long SATURATED_INTERVAL_MS = 25;
 
-	// Refusals in a row that show so. No more workers than this are asked less often than
-	// the pace anyway.
+	// Consecutive refusals after which all workers are considered full. Up to this number
+	// of workers, the backoff alone keeps the rate below that of the interval.
 	private static final int SATURATION_REFUSALS = 6;
 
-	// Reservations asked for at a time: the way to a worker and back takes 2 ms.
+	// Concurrent reservation calls; the round trip to a worker takes 2 ms.
 	private static final int MAX_CONCURRENT_CALLS = 4;
 
-	// Those who have waited for this part of the time that they could wait show that
-	// places free up more slowly than callers come.
+	// Requests that have waited for this fraction of their available time show that slots
+	// free up more slowly than requests arrive.
 	private static final double LONG_WAIT_FRACTION = 0.5;
 
-	// Before few places so many may wait, requests. Otherwise as many as the workers have
-	// places: in the time of an answer each becomes free once, and nobody waits longer.
+	// Minimum queue limit, in requests, for few slots. Otherwise the limit is the number
+	// of slots of the workers: each is freed once in the time of a response, and no
+	// request waits longer.
 	private static final int MIN_QUEUE_LIMIT = 64;
 
 	private static final Comparator<Ticket> ORDER = Comparator.comparing((Ticket t) -> t.late)
@@ -84,7 +85,7 @@
 
 	private long lastSequence;
 
-	// Those for whom a worker is being asked.
+	// Requests with a reservation call in progress.
 	private final Set<Ticket> inFlight = new HashSet<>();
 
 	private int consecutiveRefusals;
@@ -119,7 +120,8 @@
 		return workers.stream().mapToInt((w) -> w.info().slots()).sum();
 	}
 
-	// The one who would wait longest, and not the one who comes: the newest may be first.
+	// Rejects the request that would wait longest, not the newest arrival, which may be
+	// first.
 	private void rejectLast(long now) {
 		List<Ticket> ordered = orderedTickets(now);
 		Ticket last = ordered.get(ordered.size() - 1);
@@ -128,7 +130,8 @@
 	}
 
 	/**
-	 * Takes a request out again; its reservation, if one is on its way, is given back.
+	 * Removes a request; if a reservation call is in progress, its reservation is
+	 * released.
 	 * @param ticket its ticket
 	 */
 	void cancel(Ticket ticket) {
@@ -137,7 +140,7 @@
 	}
 
 	/**
-	 * A request of this VM at a worker has ended.
+	 * Handles the end of a request of this VM at a worker.
 	 * @param worker the worker
 	 * @param now the present time in milliseconds
 	 */
@@ -155,7 +158,8 @@
 				break;
 			}
 			this.queue.remove(attempt.get().ticket());
-			if (this.consecutiveRefusals >= SATURATION_REFUSALS && attempt.get().candidateCount() > SATURATION_REFUSALS) {
+			if (this.consecutiveRefusals >= SATURATION_REFUSALS
+					&& attempt.get().candidateCount() > SATURATION_REFUSALS) {
 				this.nextAttemptAt = now + SATURATED_INTERVAL_MS;
 			}
 			requestReservation(attempt.get().ticket(), attempt.get().worker(), now);
@@ -165,7 +169,8 @@
 
 	private Optional<ReservationAttempt> nextAttempt(long now) {
 		List<Ticket> ordered = orderedTickets(now);
-		boolean hasTimelyRequest = Stream.concat(ordered.stream(), this.inFlight.stream()).anyMatch((ticket) -> !ticket.late);
+		boolean hasTimelyRequest = Stream.concat(ordered.stream(), this.inFlight.stream())
+			.anyMatch((ticket) -> !ticket.late);
 		for (Ticket ticket : ordered) {
 			if (ticket.late && hasTimelyRequest) {
 				break;
@@ -195,7 +200,7 @@
 		return ordered;
 	}
 
-	// Turns away those whose time is up and moves those that have become late.
+	// Rejects expired requests and reorders those that have become late.
 	private void updateTickets(long now) {
 		for (Ticket ticket : new ArrayList<>(this.queue)) {
 			if (now >= ticket.request.waitDeadline()) {
@@ -223,35 +228,37 @@
 		this.inFlight.add(ticket);
 		worker.requestStarted();
 		worker.limit().reserve();
-		this.gateway.workerPort.reserve(worker.info(), tokens, ticket.request.reservationMs(), new ReservationListener() {
-
-			@Override
-			public void onStatus(WorkerStatus status) {
-				ReservationQueue.this.gateway.updateWorkerStatus(worker, status, now);
-			}
-
-			@Override
-			public void onReserved(String reservation) {
-				onResponse(ticket, worker, tokens, reservation, null);
-			}
-
-			@Override
-			public void onNoCapacity() {
-				onResponse(ticket, worker, tokens, null, null);
-			}
-
-			@Override
-			public void onInstanceReplaced() {
-				ReservationQueue.this.gateway.roster.instanceReplaced(worker.info().id(), WorkerStage.DECODE, ReservationQueue.this.gateway.clock.getAsLong());
-				onResponse(ticket, worker, tokens, null, null);
-			}
-
-			@Override
-			public void onFailure(ExchangeFailure failure) {
-				onResponse(ticket, worker, tokens, null, failure);
-			}
-
-		});
+		this.gateway.workerPort.reserve(worker.info(), tokens, ticket.request.reservationMs(),
+				new ReservationListener() {
+
+					@Override
+					public void onStatus(WorkerStatus status) {
+						ReservationQueue.this.gateway.updateWorkerStatus(worker, status, now);
+					}
+
+					@Override
+					public void onReserved(String reservation) {
+						onResponse(ticket, worker, tokens, reservation, null);
+					}
+
+					@Override
+					public void onNoCapacity() {
+						onResponse(ticket, worker, tokens, null, null);
+					}
+
+					@Override
+					public void onInstanceReplaced() {
+						ReservationQueue.this.gateway.roster.instanceReplaced(worker.info().id(), WorkerStage.DECODE,
+								ReservationQueue.this.gateway.clock.getAsLong());
+						onResponse(ticket, worker, tokens, null, null);
+					}
+
+					@Override
+					public void onFailure(ExchangeFailure failure) {
+						onResponse(ticket, worker, tokens, null, failure);
+					}
+
+				});
 	}
 
 	private void onResponse(Ticket ticket, WorkerState worker, int tokens, @Nullable String reservation,
@@ -286,7 +293,8 @@
 
 	private void onRefused(WorkerState worker, int tokens, @Nullable ExchangeFailure failure, long now) {
 		long backoffMs = (long) (FULL_BACKOFF_MS * (0.75 + this.gateway.random.next() / 2));
-		this.recentRefusals.recordRefusal(worker.info().id(), tokens, now + backoffMs, now + backoffMs + lateBackoffMs(now), now);
+		this.recentRefusals.recordRefusal(worker.info().id(), tokens, now + backoffMs,
+				now + backoffMs + lateBackoffMs(now), now);
 		if (failure != null) {
 			this.gateway.roster.outlierDetector(this.upstream).failed(worker.info().id(), now);
 			worker.recordOutcome(true);
@@ -294,7 +302,7 @@
 		}
 	}
 
-	// The part of the callers who are at other VMs.
+	// In proportion to the share of callers that are served by other VMs.
 	private long lateBackoffMs(long now) {
 		return LATE_BACKOFF_MS - LATE_BACKOFF_MS / this.gateway.entryVms.servingCountOwnRegion(now);
 	}
@@ -311,42 +319,43 @@
 		if (this.nextAttemptAt > now && this.inFlight.size() < MAX_CONCURRENT_CALLS) {
 			wakeAt = Math.min(wakeAt, this.nextAttemptAt);
 		}
-		this.cancelTimer = this.gateway.timer.schedule(Math.max(1, wakeAt - now), () -> dispatch(this.gateway.clock.getAsLong()));
+		this.cancelTimer = this.gateway.timer.schedule(Math.max(1, wakeAt - now),
+				() -> dispatch(this.gateway.clock.getAsLong()));
 	}
 
 	/**
-	 * A request that waits.
+	 * A request waiting for a reservation.
 	 */
 	interface PendingRequest {
 
-		// The memory it needs, tokens.
+		// Required memory, tokens.
 		int requiredTokens();
 
-		// Its rank; 0 is first.
+		// Priority; 0 is the highest.
 		int priority();
 
-		// Until when it can start and still be answered in time, ms.
+		// Latest time at which it can start and still be answered on time, ms.
 		long latestStart();
 
-		// Until when it waits at all, ms.
+		// Time at which it stops waiting, ms.
 		long waitDeadline();
 
-		// How long a reservation is to last, ms.
+		// Lifetime of its reservation, ms.
 		long reservationMs();
 
 		// The workers that may run it.
 		List<WorkerState> candidates(long now);
 
-		// A place is reserved.
+		// A slot is reserved.
 		void onReserved(WorkerState worker, String reservation, long now);
 
-		// It waited in vain.
+		// No slot was available in time, or the queue is full.
 		void onRejected(long now);
 
 	}
 
 	/**
-	 * The place of a request in the queue.
+	 * The entry of a request in the queue.
 	 */
 	static final class Ticket {
 
@@ -381,7 +390,8 @@
 	}
 
 	/**
-	 * Whom to ask for what next.
+	 * The next reservation call: the request, the worker to call and the number of
+	 * candidates.
 	 */
 	private record ReservationAttempt(Ticket ticket, WorkerState worker, int candidateCount) {
 
--- a/src/main/java/io/shallotspur/gateway/SmoothedTime.java
+++ b/src/main/java/io/shallotspur/gateway/SmoothedTime.java
@@ -1,9 +1,9 @@
 package io.shallotspur.gateway;
 
 /**
- * A running mean of times and their mean deviation from it, as for the round trips of a
- * transport connection. The first time stands for itself, with half of it as deviation.
- * Not thread-safe.
+ * A moving average of times and of their mean deviation, as in TCP's round-trip time
+ * estimate. The first time initializes the mean, with half of it as the deviation. Not
+ * thread-safe.
  */
 final class SmoothedTime {
 
@@ -16,7 +16,7 @@
 	private double deviationMs;
 
 	/**
-	 * Creates a mean of nothing.
+	 * Creates an average without samples.
 	 * @param weight the weight of the newest time, from 0 to 1
 	 */
 	SmoothedTime(double weight) {
@@ -35,8 +35,8 @@
 	}
 
 	/**
-	 * Returns the mean and some deviations.
-	 * @param deviations how many deviations
+	 * Returns the mean plus a number of deviations.
+	 * @param deviations the number of deviations
 	 * @return milliseconds; 0 if nothing was added
 	 */
 	double estimateMs(double deviations) {
--- a/src/main/java/io/shallotspur/gateway/WorkerDirectory.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerDirectory.java
@@ -11,10 +11,10 @@
 import io.shallotspur.retry.WorkerHealth;
 
 /**
- * The workers of all upstreams as this VM knows them. Not thread-safe; confined to the
- * gateway's thread.
+ * The workers of all upstreams that are known to this VM. Not thread-safe; confined to
+ * the gateway's thread.
  * <p>
- * Invariant: a worker that is leaving or gone is never a candidate.
+ * Invariant: a worker that is draining or removed is never a candidate.
  */
 public final class WorkerDirectory {
 
@@ -22,15 +22,15 @@
 
 	private final Map<String, OutlierDetector> outlierDetectors = new HashMap<>();
 
-	// What workers are announced to change over to. While one does, it refuses, and a
-	// refused prefill is the only attempt that some routes have.
+	// Announced stage changes by worker. While it changes, a worker refuses requests, and
+	// a refused prefill is the only attempt that some routes have.
 	private final Map<String, WorkerStage> announcedStages = new HashMap<>();
 
 	/**
-	 * Takes a worker's entry in the registry. A worker that has started again under its
-	 * id knows nothing of before: all that was known of it ends, and requests under way
-	 * there end as a crash ends them. An entry from before its start, which came late or
-	 * from a stale read, changes nothing.
+	 * Applies a worker's entry in the registry. After a restart under the same id, the
+	 * state of the earlier instance is discarded and its requests in progress end as in a
+	 * crash. An entry from before the latest start, which was delayed or comes from a
+	 * stale read, is ignored.
 	 * @param info the entry
 	 * @param now the present time in milliseconds
 	 */
@@ -52,10 +52,10 @@
 	}
 
 	/**
-	 * Tells whether a worker is still in the life in which it was last seen. What it held
-	 * for a request, a place or a KV cache, ended with that.
-	 * @param info the worker as it was seen
-	 * @return {@code false} if it has started again since
+	 * Tells whether the worker has not restarted since it was described. Reservations and
+	 * KV caches of an earlier instance are lost.
+	 * @param info the worker as it was described
+	 * @return {@code false} if it has restarted since
 	 */
 	boolean isCurrentInstance(WorkerInfo info) {
 		WorkerState s = this.byId.get(info.id());
@@ -63,11 +63,11 @@
 	}
 
 	/**
-	 * Takes the removal of a worker's entry.
+	 * Applies the removal of a worker's entry.
 	 * @param id the worker
-	 * @param graceEnd until when the worker may still be used, in milliseconds, the present
-	 * or a past time if not at all: entries that lapsed while the registry was away come
-	 * back if the worker lives
+	 * @param graceEnd the time in milliseconds until which the worker may still be used;
+	 * the present or a past time if it must not be used. Entries that expired while the
+	 * registry was unavailable come back if the worker is alive.
 	 */
 	public void entryRemoved(String id, long graceEnd) {
 		WorkerState s = this.byId.get(id);
@@ -77,20 +77,21 @@
 	}
 
 	/**
-	 * Waits longer for workers whose entries are gone and may come back.
+	 * Extends the grace periods of workers whose entries are gone and may come back.
 	 * @param now the present time in milliseconds
-	 * @param graceEnd until when those that are still used may be, in milliseconds
+	 * @param graceEnd the new end in milliseconds for those that are still in use
 	 */
 	public void extendGracePeriods(long now, long graceEnd) {
 		this.byId.values().forEach((s) -> s.postponeRemoval(now, graceEnd));
 	}
 
 	/**
-	 * Takes that another incarnation answers at a worker's address. The registry tells so
-	 * only seconds later; until then each request sent there would come back unrun. A
-	 * worker that has changed over meanwhile answers in the same way and is kept.
-	 * @param id the worker that was meant
-	 * @param expectedStage the stage for which it was asked
+	 * Handles a response of another instance at a worker's address. The registry reports
+	 * the change only seconds later, and until then each request sent there would come
+	 * back unexecuted. A worker that has changed its stage meanwhile responds in the same
+	 * way and is kept.
+	 * @param id the worker that was addressed
+	 * @param expectedStage the stage for which it was addressed
 	 * @param now the present time in milliseconds
 	 */
 	void instanceReplaced(String id, WorkerStage expectedStage, long now) {
@@ -101,16 +102,16 @@
 	}
 
 	/**
-	 * Takes the announcement that a worker changes over.
+	 * Records the announcement that a worker changes its stage.
 	 * @param id the worker
-	 * @param stage what it is going to do
+	 * @param stage the new stage
 	 */
 	public void stageChangeAnnounced(String id, WorkerStage stage) {
 		this.announcedStages.put(id, stage);
 	}
 
 	/**
-	 * Takes that nothing is announced for a worker any more.
+	 * Removes the announced stage change of a worker.
 	 * @param id the worker
 	 */
 	public void stageChangeWithdrawn(String id) {
@@ -118,16 +119,16 @@
 	}
 
 	/**
-	 * Takes a whole listing: announcements that it lacks are no more.
-	 * @param ids the workers for which something is announced
+	 * Applies a full listing: announcements that it lacks are removed.
+	 * @param ids the workers with an announced stage change
 	 */
 	public void retainStageChanges(Set<String> ids) {
 		this.announcedStages.keySet().retainAll(ids);
 	}
 
 	/**
-	 * Returns the workers of an upstream that want requests and can be reached, those
-	 * that change over as what they are going to be.
+	 * Returns the workers of an upstream that accept requests and can be reached. Workers
+	 * with an announced stage change are returned with the new stage.
 	 * @param upstream the upstream
 	 * @param now the present time in milliseconds
 	 * @return their entries
@@ -142,7 +143,7 @@
 	}
 
 	/**
-	 * Returns all workers that are known, those included that leave.
+	 * Returns all known workers, including those that are draining.
 	 * @return a copy of their ids
 	 */
 	public Set<String> workerIds() {
@@ -152,7 +153,7 @@
 	/**
 	 * Returns when a worker started.
 	 * @param id the worker
-	 * @return the time in Unix milliseconds; 0 if it does not say, or is not known
+	 * @return the time in Unix milliseconds; 0 if it does not report it, or is not known
 	 */
 	public long startedAt(String id) {
 		WorkerState s = this.byId.get(id);
@@ -165,7 +166,8 @@
 	}
 
 	/**
-	 * Takes a whole listing of the registry: workers that it lacks have vanished.
+	 * Applies a full listing of the registry: workers that it lacks are treated as
+	 * removed.
 	 * @param ids the ids of all entries
 	 * @param graceEnd as in {@link #entryRemoved}
 	 */
@@ -178,7 +180,7 @@
 	}
 
 	/**
-	 * Returns how many workers are known that have not vanished.
+	 * Returns the number of known workers that have not been removed.
 	 * @param now the present time in milliseconds
 	 * @return the number of workers
 	 */
@@ -187,7 +189,7 @@
 		return this.byId.size();
 	}
 
-	// Workers that fail or lag are left out unless all others are.
+	// Leaves out workers that fail, are unreachable or are slow, unless all are.
 	List<WorkerState> candidates(String upstream, Set<WorkerStage> stages, Set<String> excluded, long now) {
 		removeExpired(now);
 		List<WorkerState> all = new ArrayList<>();
@@ -195,8 +197,8 @@
 		OutlierDetector d = outlierDetector(upstream);
 		for (WorkerState s : this.byId.values()) {
 			WorkerInfo i = s.info();
-			if (!i.upstream().equals(upstream) || i.draining() || !stages.contains(i.stage()) || excluded.contains(i.id())
-					|| isChangingStage(i)) {
+			if (!i.upstream().equals(upstream) || i.draining() || !stages.contains(i.stage())
+					|| excluded.contains(i.id()) || isChangingStage(i)) {
 				continue;
 			}
 			all.add(s);
--- a/src/main/java/io/shallotspur/gateway/WorkerInfo.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerInfo.java
@@ -1,26 +1,26 @@
 package io.shallotspur.gateway;
 
 /**
- * A worker as the registry describes it. Immutable.
+ * A worker as described by the registry. Immutable.
  *
- * @param id its name; a worker that starts again may keep it
+ * @param id its name; a worker that restarts may keep it
  * @param upstream the upstream it belongs to
  * @param host its IP address
  * @param port its port
- * @param hall where it runs
- * @param slots requests it works on at once
- * @param stage what it does
- * @param draining whether it wants no new requests
- * @param warmUpMs how much longer it is slow after its start, in milliseconds
- * @param startedAt when it started, in Unix milliseconds; 0 if it does not say
+ * @param hall the hall in which it runs
+ * @param slots the number of requests it runs concurrently
+ * @param stage its stage
+ * @param draining whether it accepts no new requests
+ * @param warmUpMs remaining time of slow operation after its start, in milliseconds
+ * @param startedAt when it started, in Unix milliseconds; 0 if it does not report it
  */
 public record WorkerInfo(String id, String upstream, String host, int port, String hall, int slots, WorkerStage stage,
 		boolean draining, long warmUpMs, long startedAt) {
 
 	/**
-	 * Returns this worker as one that does something else.
-	 * @param other what it does
-	 * @return an entry that differs in that only
+	 * Returns a copy with another stage.
+	 * @param other the stage
+	 * @return an entry that differs in the stage only
 	 */
 	public WorkerInfo withStage(WorkerStage other) {
 		return new WorkerInfo(this.id, this.upstream, this.host, this.port, this.hall, this.slots, other, this.draining,
@@ -28,7 +28,7 @@
 	}
 
 	/**
-	 * Returns this worker as one that wants no new requests.
+	 * Returns a copy that accepts no new requests.
 	 * @return an entry that differs in that only
 	 */
 	public WorkerInfo asDraining() {
@@ -37,16 +37,16 @@
 	}
 
 	/**
-	 * Tells whether another description is of an earlier start of this worker.
-	 * @param other a description of a worker with the same id
-	 * @return {@code false} also if either does not say when it started
+	 * Tells whether this entry describes a later start of the worker than another entry.
+	 * @param other an entry of a worker with the same id
+	 * @return {@code false} also if either does not report when it started
 	 */
 	public boolean isRestartOf(WorkerInfo other) {
 		return other.startedAt > 0 && this.startedAt > other.startedAt;
 	}
 
 	/**
-	 * Returns the address in the form in which workers name one another.
+	 * Returns the address in the form that workers use for each other.
 	 * @return {@code host:port}
 	 */
 	public String address() {
--- a/src/main/java/io/shallotspur/gateway/WorkerSelector.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerSelector.java
@@ -4,24 +4,25 @@
 import java.util.Optional;
 
 /**
- * Chooses the worker of one attempt. Stateless; the present time and a random number are
- * arguments.
+ * Selects the worker with the lowest cost for one attempt. Stateless; the present time
+ * and the source of random numbers are arguments.
  */
 final class WorkerSelector {
 
-	// A worker in another hall is taken only when the near one is busier by this part of
-	// its slots. Bytes between halls cost, waiting for a slot costs more.
+	// A worker in another hall is selected only if the local one is busier by this
+	// fraction of its slots. Traffic between halls has a cost, but waiting for a slot
+	// costs more.
 	private static final double REMOTE_HALL_COST = 0.3;
 
-	// Cost of a worker that failed each of its last requests, in parts of its slots: it
-	// is passed over until all others are twice as busy as they can bear.
+	// Cost of a worker whose recent requests all failed, as a multiple of its slots: it
+	// is avoided until all others have twice the load that they can handle.
 	private static final double FAILURE_COST = 4;
 
-	// A worker that has just started is slower than its load tells.
+	// A worker that has just started is slower than its load indicates.
 	private static final double WARM_UP_COST = 0.5;
 
-	// Breaks ties at random. Without it, VMs that all see idle workers
-	// choose the same one.
+	// Breaks ties at random. Without it, VMs that all see idle workers would select the
+	// same one.
 	private static final double JITTER = 0.05;
 
 	private WorkerSelector() {
--- a/src/main/java/io/shallotspur/gateway/WorkerStage.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerStage.java
@@ -1,7 +1,7 @@
 package io.shallotspur.gateway;
 
 /**
- * What a worker does.
+ * The stage of request processing that a worker runs.
  */
 public enum WorkerStage {
 
--- a/src/main/java/io/shallotspur/gateway/WorkerState.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerState.java
@@ -7,29 +7,30 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What this VM knows of one worker. Not thread-safe; confined to the gateway's thread.
+ * The state of one worker as known to this VM. Not thread-safe; confined to the gateway's
+ * thread.
  * <p>
- * A worker serves all VMs, and each VM sees only its own requests. What the others have
- * there is taken from the load that the worker reports beside its answers; a report loses
- * weight as it ages.
+ * A worker serves all VMs, and each VM sees only its own requests. The load from other
+ * VMs is taken from the reports that the worker sends along with its responses; the
+ * weight of a report decays with its age.
  */
 final class WorkerState {
 
-	// A report is good for half of the time that requests last here, and at least for so
-	// long, ms. With a fixed time, long answers would be forgotten while they run, and
-	// workers that have many would be given more.
+	// The half-life of a load report is half of the mean request duration, and at least
+	// this, ms. With a fixed half-life, long responses would be forgotten while they run,
+	// and workers that have many of them would be given more.
 	private static final double MIN_HALF_LIFE_MS = 300;
 
 	private static final double HALF_LIFE_FRACTION = 0.5;
 
-	// Weight of the newest request in the time that requests last.
+	// Weight of the newest request in the mean request duration.
 	private static final double DURATION_WEIGHT = 0.1;
 
-	// Weight of the newest outcome in the failure rate: the last ten or so count.
+	// Weight of the newest outcome in the failure rate: about the last ten count.
 	private static final double FAILURE_WEIGHT = 0.1;
 
-	// A worker that took no connection is left alone for so long, ms: most crashed ones
-	// are back or gone from the registry within a few seconds.
+	// A worker that accepted no connection is skipped for this time, ms: most crashed
+	// workers have restarted or left the registry within a few seconds.
 	private static final long UNREACHABLE_BACKOFF_MS = 1_000;
 
 	private WorkerInfo info;
@@ -83,7 +84,8 @@
 		}
 	}
 
-	// Its entry is gone, and it is used for a while in case it comes back.
+	// The entry is gone, but the worker stays in use for a while in case the entry comes
+	// back.
 	boolean inGracePeriod() {
 		return this.removalAt != Long.MAX_VALUE;
 	}
@@ -92,15 +94,16 @@
 		return now >= this.removalAt;
 	}
 
-	// Neither says that it leaves, nor has left.
+	// Neither draining nor removed.
 	boolean isActive(long now) {
 		return !this.info.draining() && !isRemoved(now);
 	}
 
 	/**
-	 * Asks to be told when this life of the worker has ended. A connection to a worker
-	 * that crashed behind a cut is silent, and its request would wait for its deadline.
-	 * @param task run once, unless it is forgotten before
+	 * Adds a task to run when this instance of the worker has terminated. A connection to
+	 * a worker that crashed behind a network partition stays silent, and its request
+	 * would otherwise wait for its deadline.
+	 * @param task run once, unless it is removed before
 	 */
 	void addTerminationListener(Runnable task) {
 		this.terminationListeners.add(task);
@@ -130,13 +133,14 @@
 		this.activeRequests--;
 	}
 
-	// Requests, prefills and reservations of this VM that are under way; each has a
+	// Requests, prefills and reservation calls of this VM in progress; each uses a
 	// connection.
 	int activeRequests() {
 		return this.activeRequests;
 	}
 
-	// The start or end of a prefill that this VM has a decode worker do itself.
+	// Adjusts the number of prefills of this VM that run at the decode worker itself, at
+	// their start and end.
 	void adjustActivePrefills(int change) {
 		this.activePrefills += change;
 	}
@@ -160,18 +164,19 @@
 	}
 
 	/**
-	 * Takes how long a request was at the worker.
-	 * @param ms its time there, in milliseconds
+	 * Records the duration of a request at the worker.
+	 * @param ms the duration in milliseconds
 	 */
 	void recordDuration(long ms) {
-		this.meanDurationMs = (this.meanDurationMs > 0) ? this.meanDurationMs + DURATION_WEIGHT * (ms - this.meanDurationMs) : ms;
+		this.meanDurationMs = (this.meanDurationMs > 0)
+				? this.meanDurationMs + DURATION_WEIGHT * (ms - this.meanDurationMs) : ms;
 	}
 
 	private double halfLifeMs() {
 		return Math.max(MIN_HALF_LIFE_MS, HALF_LIFE_FRACTION * this.meanDurationMs);
 	}
 
-	// How many requests are at the worker by estimate, those of other VMs included.
+	// Estimates the number of requests at the worker, including those of other VMs.
 	double estimatedLoad(long now) {
 		LoadReport r = this.loadReport;
 		if (r == null) {
--- a/src/main/java/io/shallotspur/gateway/WorkerStatus.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerStatus.java
@@ -3,15 +3,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What a worker says of itself beside an answer. Immutable.
+ * What a worker reports about itself along with a response. Immutable.
  *
- * @param load its load, or {@code null} if it does not tell
- * @param limit how many requests it takes, or {@code null} if the answer does not show
- * whether it still names a limit
+ * @param load its load, or {@code null} if it does not report it
+ * @param limit its rate limit, or {@code null} if the response does not show whether the
+ * limit still applies
  */
 public record WorkerStatus(@Nullable LoadReport load, @Nullable WorkerRateLimit limit) {
 
-	/** An answer from which nothing is learned. */
+	/** The status of a response that reports nothing. */
 	public static final WorkerStatus NONE = new WorkerStatus(null, null);
 
 }
