--- a/src/test/java/io/shallotspur/gateway/EngineTimeEstimatorTests.java
+++ b/src/test/java/io/shallotspur/gateway/EngineTimeEstimatorTests.java
@@ -4,7 +4,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests of {@link EngineTimeEstimator}: what is known when, and on how many requests it rests.
+ * Tests of {@link EngineTimeEstimator}: which statistics are available when, and on how
+ * many requests they are based.
  */
 class EngineTimeEstimatorTests {
 
@@ -18,8 +19,8 @@
 		Assertions.assertThat(this.times.prefillTimeoutMs()).isZero();
 	}
 
-	// Requests have come and none has shown a pace yet: their lengths alone say nothing
-	// of what a worker bears.
+	// Requests have arrived but no pace has been observed: their lengths alone do not
+	// show what load a worker can handle.
 	@Test
 	void sharesNothingBeforePaceIsKnown() {
 		this.times.recordRequest(new PromptInfo(3_000, 1_000, 500));
@@ -28,7 +29,8 @@
 
 	@Test
 	void mergesLocalAndSharedStatistics() {
-		this.times.setSharedStatistics(new EngineStatistics(4, 1_000, 100, 1_200, 0.03, 0.03, 7, OutputLengthModel.PRIOR));
+		this.times
+			.setSharedStatistics(new EngineStatistics(4, 1_000, 100, 1_200, 0.03, 0.03, 7, OutputLengthModel.PRIOR));
 		EngineTimeSamples.recordRequests(this.times, 4, 3_000, 500, 90, 7);
 		EngineStatistics f = this.times.statistics().orElseThrow();
 		Assertions.assertThat(f.samples()).isEqualTo(8);
@@ -37,8 +39,8 @@
 		Assertions.assertThat(this.times.unsharedStatistics()).isEmpty();
 	}
 
-	// The first answers to end are the short ones. Taken for all, they would tell of too
-	// quick a pace, and long answers would be let in that cannot end in time.
+	// The first responses to complete are the short ones. Used for all, they would show
+	// too fast a pace, and long responses would be admitted that cannot complete in time.
 	@Test
 	void usesEventPaceUntilEnoughResponsesCompleted() {
 		PromptInfo p = new PromptInfo(3_000, 2_000, 1_000);
@@ -51,8 +53,8 @@
 		Assertions.assertThat(this.times.generationMs(1_000)).isBetween(4_500L, 5_000L);
 	}
 
-	// A prefill worker has gone dark. Each prefill that was given up lengthens the next
-	// one's time, so that a queue in a burst is not taken for a loss again and again.
+	// A prefill worker has become unreachable. Each prefill timeout extends the next
+	// timeout, so that a queue in a burst is not repeatedly mistaken for a lost worker.
 	@Test
 	void increasesTimeoutAfterPrefillTimeout() {
 		this.times.recordPrefill(100, new PromptInfo(3_000, 1_000, 500));
--- a/src/test/java/io/shallotspur/gateway/EngineTimeSamples.java
+++ b/src/test/java/io/shallotspur/gateway/EngineTimeSamples.java
@@ -1,7 +1,7 @@
 package io.shallotspur.gateway;
 
 /**
- * Shows requests to {@link EngineTimeEstimator} as a gateway would.
+ * Records samples in an {@link EngineTimeEstimator} as a gateway would.
  */
 public final class EngineTimeSamples {
 
@@ -11,16 +11,16 @@
 	}
 
 	/**
-	 * Shows requests of one kind that were prefilled and go on.
-	 * @param estimator what is to see them
-	 * @param n how many
+	 * Records identical requests that were prefilled and whose responses are in progress.
+	 * @param estimator the estimator
+	 * @param n the number of requests
 	 * @param promptTokens tokens of each prompt
-	 * @param outputTokens tokens that are expected of each answer
+	 * @param outputTokens tokens that are expected of each response
 	 * @param prefillMs time of each prefill, in milliseconds
 	 * @param tokenMs time between two tokens, in milliseconds
 	 */
-	public static void recordRequests(EngineTimeEstimator estimator, int n, int promptTokens, int outputTokens, long prefillMs,
-			long tokenMs) {
+	public static void recordRequests(EngineTimeEstimator estimator, int n, int promptTokens, int outputTokens,
+			long prefillMs, long tokenMs) {
 		PromptInfo p = new PromptInfo(promptTokens, 2 * outputTokens, outputTokens);
 		for (int i = 0; i < n; i++) {
 			estimator.recordRequest(p);
--- a/src/test/java/io/shallotspur/gateway/OutputLengthEstimatorTests.java
+++ b/src/test/java/io/shallotspur/gateway/OutputLengthEstimatorTests.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests of {@link OutputLengthEstimator}, with answers of 20 to 5,000 tokens.
+ * Tests of {@link OutputLengthEstimator}, with responses of 20 to 5,000 tokens.
  */
 class OutputLengthEstimatorTests {
 
 	private final OutputLengthEstimator lengths = new OutputLengthEstimator();
 
-	// Answers around a median, and estimates that are as often too high as too low.
+	// Lengths around a median, and estimates that are as often too high as too low.
 	private static OutputLengthEstimator estimatorAfter(int median, double spread, double error, int n) {
 		OutputLengthEstimator estimator = new OutputLengthEstimator();
 		Random random = new Random(3);
@@ -41,8 +41,9 @@
 		Assertions.assertThat(estimator.model().estimateTokens(1_500, 1)).isLessThan(1.25 * 1_500);
 	}
 
-	// Estimates say nothing. Followed, the low ones would set too little memory aside and
-	// have running answers dropped, and the high ones would keep others out.
+	// Estimates without information. If they were followed, low ones would reserve too
+	// little memory and have running requests evicted, and high ones would block other
+	// requests.
 	@Test
 	void regressesUninformativeEstimatesToTheMean() {
 		OutputLengthEstimator estimator = estimatorAfter(4_700, 0.1, 1, 60);
@@ -50,9 +51,9 @@
 		Assertions.assertThat(estimator.model().estimateTokens(20_000, 0)).isLessThan(8_000);
 	}
 
-	// A VM starts in the middle of a burst. The others have seen that short estimates are
-	// too short; until it had seen it too, running answers would be dropped for want of
-	// memory.
+	// A VM starts during a burst. The other VMs have learned that short estimates are too
+	// short; without their model, running requests would be evicted for lack of memory
+	// until this VM had learned it too.
 	@Test
 	void startsFromModelOfOtherVms() {
 		OutputLengthModel known = estimatorAfter(4_700, 0.1, 1, 60).model();
@@ -69,11 +70,12 @@
 			@ForAll @IntRange(min = 0, max = 100_000) int expected) {
 		OutputLengthEstimator estimator = estimatorAfter(median, spread, error, n);
 		Assertions.assertThat(estimator.model().estimateTokens(expected, 0)).isFinite().isPositive();
-		Assertions.assertThat(estimator.model().estimateTokens(expected, 1)).isGreaterThanOrEqualTo(estimator.model().estimateTokens(expected, 0));
+		Assertions.assertThat(estimator.model().estimateTokens(expected, 1))
+			.isGreaterThanOrEqualTo(estimator.model().estimateTokens(expected, 0));
 	}
 
-	// Most of those that end later are no longer than was set aside, and what is set
-	// aside is no multiple of what is needed.
+	// The reservation covers most later responses and is not a multiple of what is
+	// needed.
 	@Property(tries = 100, seed = "32")
 	void coversMostResponses(@ForAll @IntRange(min = 20, max = 5_000) int median,
 			@ForAll @DoubleRange(min = 0.1, max = 0.8) double spread,
--- a/src/test/java/io/shallotspur/gateway/PrefillTests.java
+++ b/src/test/java/io/shallotspur/gateway/PrefillTests.java
@@ -10,13 +10,14 @@
 import io.shallotspur.gateway.GatewayFixture.Call;
 
 /**
- * Tests of where prompts are prefilled, under the load it answers: long prompts in a
- * burst, a prefill worker or two, and decode workers full of answers that must not pause.
+ * Tests of the selection of prefill workers, under the load it is designed for: a burst
+ * of long prompts, one or two prefill workers, and decode workers full of responses that
+ * must not stall.
  */
 class PrefillTests {
 
-	// Takes 300 ms at a decode worker; with the time of an event a pause of more than the
-	// 300 ms that the route allows.
+	// Takes 300 ms at a decode worker; together with the time of an event the gap exceeds
+	// the 300 ms that the route allows.
 	private static final int LONG_PROMPT = 5_000;
 
 	private static final int SHORT_PROMPT = 1_000;
@@ -29,7 +30,7 @@
 		this.fixture.addWorker("f1", "llm", WorkerStage.PREFILL);
 	}
 
-	// And an answer runs at the decode worker.
+	// Also starts a response at the decode worker.
 	private void setSharedStatistics() {
 		sendPrompt("once", 100);
 		this.fixture.gateway.engineTimes("llm")
@@ -49,9 +50,9 @@
 		return c;
 	}
 
-	// An answer runs at the decode worker and several prompts wait at the prefill worker.
-	// The decode worker would be the shorter way for the next one, and the answer there
-	// would stand still for as long as it is read.
+	// A response runs at the decode worker and several prompts wait at the prefill
+	// worker. The decode worker would be faster for the next prompt, but the response
+	// there would stall during the prefill.
 	@Test
 	void queuesLongPromptAtPrefillWorker() {
 		setSharedStatistics();
@@ -70,9 +71,9 @@
 		Assertions.assertThat(this.fixture.workers.prefills).hasSizeBetween(1, 5);
 	}
 
-	// All VMs were killed and have started again. None of them knows what runs at a
-	// decode worker; taken for idle, each would get the prompts of the returning callers,
-	// and all answers there would stand still.
+	// All VMs were killed and have restarted, and none knows what runs at a decode
+	// worker. If it were assumed to be idle, each would be sent the prompts of the
+	// returning callers, and all responses there would stall.
 	@Test
 	void queuesLongPromptWhenDecodeWorkerLoadIsUnknown() {
 		setSharedStatistics();
@@ -83,9 +84,9 @@
 		Assertions.assertThat(this.fixture.workers.prefills).hasSize(4);
 	}
 
-	// An entry VM has died, and its callers come back to go on with their answers. Read
-	// at the decode workers, their prompts would make all answers there pause; the first
-	// prefill of the new request is free.
+	// An entry VM has died, and its callers reconnect to resume their responses.
+	// Prefilled at the decode workers, their prompts would stall all responses there; the
+	// first prefill of the new request is not charged as an attempt.
 	@Test
 	void usesPrefillWorkerForResumedRequest() {
 		setSharedStatistics();
@@ -99,9 +100,9 @@
 		Assertions.assertThat(this.fixture.workers.lastRun().call.kvSource().handle()).isEqualTo("kv");
 	}
 
-	// The prompt was read and the answer that names its KV cache was lost. The route
-	// allows two attempts: one is spent on another prefill, and running answers are
-	// spared.
+	// The prompt was prefilled, but the response with the handle of its KV cache was
+	// lost. The route allows two attempts: one is spent on another prefill, so that
+	// running responses do not stall.
 	@Test
 	void retriesPrefillWhenDecodeWorkerWouldStall() {
 		setSharedStatistics();
@@ -116,7 +117,7 @@
 		Assertions.assertThat(this.fixture.workers.lastRun().call.kvSource().handle()).isEqualTo("kv");
 	}
 
-	// The same where the route allows one attempt: only the first prefill is free.
+	// The same where the route allows one attempt: only the first prefill is not charged.
 	@Test
 	void doesNotSpendOnlyAttemptOnPrefillRetry() {
 		setSharedStatistics();
@@ -127,9 +128,9 @@
 		Assertions.assertThat(this.fixture.workers.lastRun().call.kvSource()).isNull();
 	}
 
-	// A burst fills the queue of the prefill worker. A prefill that is given up just
-	// before its turn is done again at the decode worker, so the time it is given follows
-	// what prefills take.
+	// A burst fills the queue of the prefill worker. A prefill that is abandoned just
+	// before its turn is repeated at the decode worker, so the timeout follows the
+	// duration of recent prefills.
 	@Test
 	void derivesTimeoutFromRecentPrefills() {
 		setSharedStatistics();
@@ -141,8 +142,8 @@
 		Assertions.assertThat(this.fixture.workers.prefills.get(8).cancelled).isTrue();
 	}
 
-	// A prefill worker has gone dark, and prefills took little before. Its prompts are
-	// read elsewhere in time.
+	// A prefill worker becomes unreachable after fast prefills. Its prompts are prefilled
+	// elsewhere in time.
 	@Test
 	void timesOutEarlyWhenPrefillsAreFast() {
 		setSharedStatistics();
@@ -165,9 +166,9 @@
 		Assertions.assertThat(this.fixture.workers.reservations).hasSize(holds);
 	}
 
-	// Prefill workers are slow, and a reservation ends while the prompt is read. Sent
-	// without it, the request would take memory that running answers grow into, and one
-	// of them would be dropped. Another place is reserved, and what was read is used
+	// Prefill workers are slow, and a reservation expires during the prefill. Sent
+	// without it, the request would take memory that running responses grow into, and one
+	// of them would be evicted. Another reservation is made, and the KV cache is used
 	// there.
 	@Test
 	void reusesKvCacheWithNewReservation() {
@@ -192,7 +193,7 @@
 		}
 	}
 
-	// The last one, with index 12, is of a caller who may resume.
+	// The last prefill, with index 12, belongs to a caller that may resume.
 	private void startSlowPrefills() {
 		setSharedStatistics();
 		recordSlowPrefills();
@@ -203,23 +204,24 @@
 		sendPrompt("resume", LONG_PROMPT);
 	}
 
-	// Prefill workers of three halls are idle. One in the hall of the decode worker makes
-	// the KV cache's way half as long, and the links between halls have less to carry.
+	// Prefill workers of two other halls are idle. For one in the hall of the decode
+	// worker, the KV cache transfer takes half as long and there is less traffic between
+	// halls.
 	@Test
 	void prefersPrefillWorkerInHallOfDecodeWorker() {
-		WorkerState near = worker("f1", "hall-b");
-		WorkerState far = worker("f2", "hall-c");
-		Assertions.assertThat(select(List.of(far, near))).isSameAs(near);
-		near.requestStarted();
-		Assertions.assertThat(select(List.of(far, near))).isSameAs(far);
+		WorkerState nearWorker = worker("f1", "hall-b");
+		WorkerState farWorker = worker("f2", "hall-c");
+		Assertions.assertThat(select(List.of(farWorker, nearWorker))).isSameAs(nearWorker);
+		nearWorker.requestStarted();
+		Assertions.assertThat(select(List.of(farWorker, nearWorker))).isSameAs(farWorker);
 	}
 
-	// The only prefill worker is in another hall. Its being far is no reason to have the
-	// prompt read at the decode worker, which holds up all answers there.
+	// The only prefill worker is in another hall. The distance is no reason to prefill at
+	// the decode worker, which stalls all responses there.
 	@Test
 	void usesPrefillWorkerInOtherHallIfItIsTheOnlyOne() {
-		WorkerState far = worker("f2", "hall-c");
-		Assertions.assertThat(select(List.of(far))).isSameAs(far);
+		WorkerState farWorker = worker("f2", "hall-c");
+		Assertions.assertThat(select(List.of(farWorker))).isSameAs(farWorker);
 	}
 
 	private static WorkerState worker(String id, String hall) {
@@ -228,8 +230,8 @@
 
 	private static @Nullable WorkerState select(List<WorkerState> prefill) {
 		return PrefillSelector
-			.select(new PromptInfo(SHORT_PROMPT, 100, 100), prefill, worker("d1", "hall-b"), false, "hall-a",
-					() -> 0.5, 0)
+			.select(new PromptInfo(SHORT_PROMPT, 100, 100), prefill, worker("d1", "hall-b"), false, "hall-a", () -> 0.5,
+					0)
 			.orElse(null);
 	}
 
--- a/src/test/java/io/shallotspur/gateway/PrefillTimeEstimatorTests.java
+++ b/src/test/java/io/shallotspur/gateway/PrefillTimeEstimatorTests.java
@@ -7,7 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests of {@link PrefillTimeEstimator}: prompts of all lengths, some of which wait in a queue.
+ * Tests of {@link PrefillTimeEstimator} with prompts of all lengths, some of which wait
+ * in a queue.
  */
 class PrefillTimeEstimatorTests {
 
@@ -22,8 +23,8 @@
 		}
 	}
 
-	// A prefill takes 60 ms besides. Counted as time of the tokens, a decode worker would
-	// be thought to hold its answers up for twice as long as it does.
+	// A prefill has a fixed overhead of 60 ms. Counted as time per token, it would double
+	// the estimated stall at a decode worker.
 	@Test
 	void separatesTokenTimeFromFixedOverhead() {
 		addSamples(40, 0);
@@ -44,8 +45,8 @@
 	}
 
 	// In a burst half of the prompts wait in the queue of their prefill worker. If that
-	// were taken for work, prefill workers would be thought too few, and none of them
-	// would go over to decode workers that callers wait for.
+	// counted as processing time, there would seem to be too few prefill workers, and
+	// none of them would change to decode workers that callers wait for.
 	@Test
 	void excludesQueueTimeFromEstimate() {
 		addSamples(64, 0.5);
--- a/src/test/java/io/shallotspur/gateway/ReservationQueueTests.java
+++ b/src/test/java/io/shallotspur/gateway/ReservationQueueTests.java
@@ -6,8 +6,8 @@
 import io.shallotspur.gateway.GatewayFixture.Call;
 
 /**
- * Tests of waiting for a place at a decode worker, under the load it answers: more long
- * answers than the decode workers' memory bears.
+ * Tests of waiting for a slot at a decode worker, under the load it is designed for: more
+ * long responses than the decode workers' memory can hold.
  */
 class ReservationQueueTests {
 
@@ -38,8 +38,8 @@
 		Assertions.assertThat(reservationCall(1).worker().id()).isNotEqualTo(reservationCall(0).worker().id());
 	}
 
-	// All places are taken for a moment. A refusal would cost the caller its one return;
-	// the place that this VM's own request frees is taken at once instead.
+	// All slots are taken for a moment. A refusal would cost the caller its only retry;
+	// instead the slot that this VM's own request frees is claimed at once.
 	@Test
 	void claimsSlotFreedByOwnRequest() {
 		this.fixture.addWorker("d1", "llm", WorkerStage.DECODE);
@@ -57,8 +57,8 @@
 		Assertions.assertThat(second.caller().responseCount).isZero();
 	}
 
-	// Many VMs before few workers: each must leave a full worker alone for a while, lest
-	// all of them spend their time asking.
+	// Many VMs share few workers: each must skip a full worker temporarily, so that the
+	// workers do not spend their time on reservation calls.
 	@Test
 	void backsOffFromFullWorker() {
 		this.fixture.addWorker("d1", "llm", WorkerStage.DECODE);
@@ -70,9 +70,9 @@
 		Assertions.assertThat(this.fixture.workers.reservations).hasSize(2);
 	}
 
-	// A burst on a large fleet: every VM has a request that waits, and all workers are
-	// full. If each VM went through all workers again and again, tens of thousands of
-	// refusals a second would use up the processors of both.
+	// A burst on a large fleet: every VM has a pending request, and all workers are full.
+	// If each VM kept calling all workers, tens of thousands of refusals a second would
+	// use up the CPU time of both.
 	@Test
 	void boundsRequestRateWhenAllWorkersAreFull() {
 		for (int i = 0; i < 40; i++) {
@@ -89,9 +89,9 @@
 		Assertions.assertThat(answered).isBetween(20, 60);
 	}
 
-	// Prefills take a quarter of the time to the first event. If a place were thought to
-	// lead to an answer at once, requests that wait would be given one when it is just
-	// too late for them, and all answers of a burst would be late by a little.
+	// Prefills take a quarter of the time to the first event. If a slot were assumed to
+	// lead to a response at once, pending requests would get one just too late, and all
+	// responses of a burst would be slightly late.
 	@Test
 	void includesPrefillInTimeToFirstEvent() {
 		this.fixture.addWorker("d1", "llm", WorkerStage.DECODE);
@@ -109,7 +109,7 @@
 		Assertions.assertThat(this.fixture.gateway.engineTimes("llm").timeToFirstEventMs()).isBetween(270L, 320L);
 	}
 
-	// A place that becomes free is asked for at once all the same.
+	// A slot that becomes free is still requested at once.
 	@Test
 	void retriesImmediatelyWhereOwnRequestEnded() {
 		for (int i = 0; i < 12; i++) {
@@ -137,8 +137,8 @@
 		Assertions.assertThat(this.fixture.workers.runs).isEmpty();
 	}
 
-	// A burst has left callers waiting whose answers will be late in any case. A new one
-	// that can still be answered in time goes first, else all of them are late.
+	// A burst has left pending requests that will be late in any case. A new one that can
+	// still be on time is served first, otherwise all of them are late.
 	@Test
 	void servesTimelyRequestsBeforeLateOnes() {
 		this.fixture.addWorker("d1", "llm", WorkerStage.DECODE);
@@ -159,8 +159,9 @@
 		Assertions.assertThat(reservationCall(n).tokens()).isGreaterThan(2_222);
 	}
 
-	// A caller who was refused comes back with less time left. Its objective counts from
-	// its first try; taken for new, it would pass those who can still be in time.
+	// A refused caller retries with less time left. Its objective is measured from its
+	// first attempt; treated as new, it would overtake requests that can still be on
+	// time.
 	@Test
 	void measuresRetriedRequestFromFirstAttempt() {
 		this.fixture.addWorker("d1", "llm", WorkerStage.DECODE);
@@ -182,22 +183,23 @@
 		}
 	}
 
-	// A burst of twice what the workers bear. Served in the order of their arrival, all
-	// callers would get their place when it is all but too late, and a prefill that takes
-	// a little longer than others makes each of them late.
+	// A burst of twice the capacity of the workers. Served in the order of arrival, all
+	// requests would get their slot just before it is too late, and a slightly slower
+	// prefill would make each of them late.
 	@Test
 	void servesNewestFirstUnderOverload() {
 		Assertions.assertThat(tokensOfFirstCallAfterRefusals(620)).isGreaterThan(6_000);
 	}
 
-	// Callers have waited for a moment only and all can be in time: who came first goes
-	// first.
+	// Requests have waited only for a moment and all can be on time: the first to arrive
+	// is served first.
 	@Test
 	void servesOldestFirstWithoutOverload() {
 		Assertions.assertThat(tokensOfFirstCallAfterRefusals(100)).isLessThan(3_500 + 500);
 	}
 
-	// One caller has been refused for a while when another comes, with twice its prompt.
+	// One request has been refused for a while when another arrives, with twice its
+	// prompt.
 	private int tokensOfFirstCallAfterRefusals(long ms) {
 		this.fixture.addWorker("d1", "llm", WorkerStage.DECODE);
 		this.fixture.callWithPrompt("once", 3_000);
@@ -208,9 +210,8 @@
 		return reservationCall(n).tokens();
 	}
 
-	// The burst is over, and callers whose answers will be late still wait. With the
-	// oldest of them first, those who come after would wait behind all of them and be
-	// late too.
+	// The burst is over, and requests that will be late still wait. With the oldest
+	// first, later arrivals would wait behind all of them and be late too.
 	@Test
 	void servesNewestFirstAmongLateRequests() {
 		this.fixture.addWorker("d1", "llm", WorkerStage.DECODE);
@@ -223,8 +224,8 @@
 		Assertions.assertThat(reservationCall(2).tokens()).isGreaterThan(6_000);
 	}
 
-	// A worker has memory for a short prompt, but not for the long one that asked last.
-	// Left alone by all, it would stand half empty while callers wait.
+	// A worker has memory for a short prompt, but not for the long one that was refused
+	// last. Skipped for all requests, it would stay half empty while callers wait.
 	@Test
 	void offersShortPromptToWorkerThatRefusedLongOne() {
 		this.fixture.addWorker("d1", "llm", WorkerStage.DECODE);
@@ -237,9 +238,8 @@
 		Assertions.assertThat(reservationCall(1).tokens()).isLessThan(2_000);
 	}
 
-	// One caller can still be in time but finds no memory for its long prompt. If short
-	// ones that are late took each piece of memory that becomes free, it would be late
-	// too.
+	// One request can still be on time but finds no memory for its long prompt. If short
+	// late ones took each piece of memory that becomes free, it would be late too.
 	@Test
 	void holdsBackLateRequestsWhileTimelyOnesWait() {
 		this.fixture.addWorker("d1", "llm", WorkerStage.DECODE);
@@ -250,9 +250,9 @@
 		Assertions.assertThat(this.fixture.workers.reservations).allMatch((h) -> h.tokens() > 6_000);
 	}
 
-	// Two VMs serve all callers of a fleet, and in a burst more wait than the queue
-	// holds. Turned away on arrival, those who could be in time would make room for those
-	// who are late in any case.
+	// Two VMs serve all callers of a fleet, and in a burst more requests wait than the
+	// queue holds. If new arrivals were rejected, requests that could be on time would
+	// make way for those that are late in any case.
 	@Test
 	void fullQueueRejectsLastInOrderNotNewest() {
 		this.fixture.addWorker("d1", "llm", WorkerStage.DECODE);
@@ -268,8 +268,9 @@
 		Assertions.assertThat(more).allMatch((c) -> c.caller().responseCount == 0);
 	}
 
-	// A burst lasts longer than callers wait. Kept until they are about to leave, they
-	// would come back so late that the next try is their last one, and it may be in vain.
+	// A burst lasts longer than callers wait. If requests were kept until just before the
+	// caller gives up, its next attempt would come so late that it is the last one, and
+	// it may be unsuccessful.
 	@Test
 	void rejectsLateRequestWellBeforeCallerTimesOut() {
 		this.fixture.addWorker("d1", "llm", WorkerStage.DECODE);
@@ -284,8 +285,8 @@
 		Assertions.assertThat(this.fixture.callWithPrompt("once", 100).caller().status).isEqualTo(503);
 	}
 
-	// A burst outlasts what callers wait for a first event. One who is refused then and
-	// comes back within a second waits in vain once more, and has no third try.
+	// A burst lasts longer than callers wait for a first event. A caller that is refused
+	// and retries within a second waits unsuccessfully again, and has no third attempt.
 	@Test
 	void delaysRetryOfLateRequestUntilAfterBurst() {
 		Assertions.assertThat(RetryAfter.lateDelayMs(9_000, 2_000, 0)).isEqualTo(3_000);
@@ -296,8 +297,9 @@
 		Assertions.assertThat(c.caller().refusal.retryAfterMs()).isBetween(2_000L, 3_700L);
 	}
 
-	// A caller with a long answer was refused and comes back with less time than its
-	// answer takes. Placed, it holds memory for seconds and is cut off in the middle.
+	// A caller with a long response was refused and retries with less time than the
+	// response takes. Once placed, it holds memory for seconds and is cut off in the
+	// middle.
 	@Test
 	void refusesImmediatelyIfResponseCannotCompleteInTime() {
 		this.fixture.addWorker("d1", "llm", WorkerStage.DECODE);
@@ -308,9 +310,9 @@
 		Assertions.assertThat(this.fixture.workers.reservations).hasSize(2);
 	}
 
-	// A VM has just started, and answers are thousands of tokens. As long as none has
-	// shown how long a token takes, the longest may well end in time; refused, its caller
-	// would be turned away beside idle workers.
+	// A VM has just started, and responses have thousands of tokens. Until a time per
+	// token has been observed, even the longest may complete in time; refusing it would
+	// turn its caller away although workers are idle.
 	@Test
 	void acceptsLongResponseBeforePaceIsKnown() {
 		this.fixture.addWorker("d1", "llm", WorkerStage.DECODE);
@@ -319,8 +321,8 @@
 		Assertions.assertThat(this.fixture.workers.reservations).hasSize(1);
 	}
 
-	// Engines that make a token in less than a millisecond, and the first answer has only
-	// just begun. Its events show the pace, seconds before it ends.
+	// Engines generate a token in less than a millisecond, and the first response has
+	// only just started. Its events show the pace seconds before it ends.
 	@Test
 	void learnsPaceFromStreamingResponse() {
 		this.fixture.addWorker("d1", "llm", WorkerStage.DECODE);
--- a/src/test/java/io/shallotspur/gateway/WorkerDirectoryTests.java
+++ b/src/test/java/io/shallotspur/gateway/WorkerDirectoryTests.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests of workers that change over in {@link WorkerDirectory}.
+ * Tests of stage changes and restarts of workers in {@link WorkerDirectory}.
  */
 class WorkerDirectoryTests {
 
@@ -23,8 +23,8 @@
 		return this.directory.candidates("llm", Set.of(stage), Set.of(), NOW);
 	}
 
-	// A worker that changes over refuses what it is sent. A refused prefill is the only
-	// attempt that some routes have, so their callers would be turned away.
+	// A worker that changes its stage refuses requests. A refused prefill is the only
+	// attempt that some routes have, so their callers would be refused.
 	@Test
 	void excludesWorkerOnceStageChangeIsAnnounced() {
 		this.directory.updateEntry(worker(WorkerStage.PREFILL), NOW);
@@ -43,7 +43,7 @@
 		Assertions.assertThat(candidates(WorkerStage.PREFILL)).hasSize(1);
 	}
 
-	// The withdrawal came while this VM was cut off; only a listing shows it.
+	// The change was withdrawn while this VM was partitioned; only a listing shows it.
 	@Test
 	void dropsStageChangesMissingFromListing() {
 		this.directory.updateEntry(worker(WorkerStage.PREFILL), NOW);
@@ -52,8 +52,8 @@
 		Assertions.assertThat(candidates(WorkerStage.PREFILL)).hasSize(1);
 	}
 
-	// Without this the VM that shares the workers out would see one prefill worker too
-	// many until the change is in force, and would have another one change over.
+	// Otherwise the VM that assigns the stages would see one prefill worker too many
+	// until the change is in force, and would change another one.
 	@Test
 	void reportsWorkerUnderAnnouncedStage() {
 		this.directory.updateEntry(worker(WorkerStage.PREFILL), NOW);
@@ -61,9 +61,9 @@
 		Assertions.assertThat(this.directory.activeWorkers("llm", NOW)).containsExactly(worker(WorkerStage.DECODE));
 	}
 
-	// A prefill was on its way while the worker changed over; the worker says that it is
-	// not the one that was meant. Taken for another incarnation, it would be left out
-	// until its entry changes, which can take the rest of its life.
+	// A prefill was in transit while the worker changed its stage, and the worker
+	// responds that it is not the addressed one. Taken for another instance, it would be
+	// excluded until its entry changes, which can take the rest of its lifetime.
 	@Test
 	void keepsWorkerThatChangedStage() {
 		this.directory.updateEntry(worker(WorkerStage.DECODE), NOW);
@@ -73,8 +73,8 @@
 		Assertions.assertThat(candidates(WorkerStage.DECODE)).isEmpty();
 	}
 
-	// A worker crashed and started again under its id. Its slots are free, its failures
-	// are those of the life before, and its connections lead nowhere.
+	// A worker crashed and restarted under its id. Its slots are free, its failures are
+	// those of the earlier instance, and its connections are dead.
 	@Test
 	void resetsStateWhenWorkerRestarts() {
 		this.directory.updateEntry(workerStartedAt(100), NOW);
@@ -89,8 +89,8 @@
 		Assertions.assertThat(this.directory.isCurrentInstance(after.info())).isTrue();
 	}
 
-	// An entry of the former life comes late, or from a stale read. Taken for a restart,
-	// it would end what runs at the worker.
+	// An entry of the earlier instance is delayed or comes from a stale read. Taken for a
+	// restart, it would end the requests that run at the worker.
 	@Test
 	void ignoresEntryOfEarlierInstance() {
 		this.directory.updateEntry(workerStartedAt(200), NOW);
@@ -100,9 +100,9 @@
 		Assertions.assertThat(s.info().startedAt()).isEqualTo(200);
 	}
 
-	// Answers last for seconds and a report comes beside the first bytes of each.
-	// Forgotten within a second, a worker full of other VMs' answers would look idle, and
-	// one worker would have six answers where another has two.
+	// Responses last for seconds and a report comes with the first bytes of each. If it
+	// decayed within a second, a worker full of other VMs' requests would look idle, and
+	// one worker would have six requests where another has two.
 	@Test
 	void scalesReportHalfLifeWithRequestDuration() {
 		this.directory.updateEntry(workerStartedAt(100), NOW);
