--- a/src/test/java/io/shallotspur/registry/ConfigReaderTests.java
+++ b/src/test/java/io/shallotspur/registry/ConfigReaderTests.java
@@ -34,13 +34,13 @@
 
 	private final ConfigReader reader = new ConfigReader(this.registry, this.gateway);
 
-	private final AtomicInteger told = new AtomicInteger();
+	private final AtomicInteger completed = new AtomicInteger();
 
-	private void ask() {
-		this.reader.ask(this.told::incrementAndGet);
+	private void read() {
+		this.reader.ask(this.completed::incrementAndGet);
 	}
 
-	private void answer(long version) {
+	private void respond(long version) {
 		Sinks.One<RouteTable> s = this.registry.pendingConfiguration;
 		this.registry.pendingConfiguration = Sinks.one();
 		s.tryEmitValue(new RouteTable(version, List.of(), List.of(), IngressLimits.DEFAULT));
@@ -49,72 +49,73 @@
 	private void fail() {
 		Sinks.One<RouteTable> s = this.registry.pendingConfiguration;
 		this.registry.pendingConfiguration = Sinks.one();
-		s.tryEmitError(new StoreUnavailableException("away", "test"));
+		s.tryEmitError(new StoreUnavailableException("unavailable", "test"));
 	}
 
 	@Test
-	void bringsTheNewestConfigurationIntoForceBeforeItTells() {
+	void appliesTheConfigurationBeforeItCompletes() {
 		this.reader.ask(() -> Assertions.assertThat(this.gateway.table().orElseThrow().version()).isEqualTo(4));
-		ask();
-		answer(4);
-		Assertions.assertThat(this.told).hasValue(1);
+		read();
+		respond(4);
+		Assertions.assertThat(this.completed).hasValue(1);
 	}
 
-	// A hundred callers come while the store is asked. A call for each would be billed as
-	// a hundred.
+	// A hundred callers arrive during one read. Separate calls would be billed as a
+	// hundred.
 	@Test
-	void allWhoAskMeanwhileShareOneAnswer() {
+	void callersDuringAReadShareItsResponse() {
 		for (int i = 0; i < 100; i++) {
-			ask();
+			read();
 		}
 		Assertions.assertThat(this.registry.configurationReads).isEqualTo(1);
-		answer(1);
-		Assertions.assertThat(this.told).hasValue(100);
+		respond(1);
+		Assertions.assertThat(this.completed).hasValue(100);
 	}
 
-	// The store is away. Each caller in turn would wait for its time limit.
+	// The store is unavailable. Without the delay, each caller in turn would wait until
+	// its own call times out.
 	@Test
-	void afterAFailureTheStoreIsLeftAloneForAWhile() {
-		ask();
+	void makesNoCallShortlyAfterAFailure() {
+		read();
 		fail();
-		ask();
-		Assertions.assertThat(this.told).hasValue(2);
+		read();
+		Assertions.assertThat(this.completed).hasValue(2);
 		Assertions.assertThat(this.registry.configurationReads).isEqualTo(1);
 		this.timer.advance(300);
-		ask();
+		read();
 		Assertions.assertThat(this.registry.configurationReads).isEqualTo(2);
 	}
 
-	// The watch brings a newer configuration while the answer with the former one is on
-	// its way. Routes must not come back that callers have seen gone.
+	// The watch delivers a newer configuration while the response with the former one is
+	// in transit. Routes that were already removed must not come back.
 	@Test
-	void aLateAnswerDoesNotBringAnOlderOneBack() {
-		ask();
+	void aDelayedResponseDoesNotRestoreAnOlderConfiguration() {
+		read();
 		this.gateway.configure(new RouteTable(5, List.of(), List.of(), IngressLimits.DEFAULT));
-		answer(4);
+		respond(4);
 		Assertions.assertThat(this.gateway.table().orElseThrow().version()).isEqualTo(5);
 	}
 
 	private boolean proves(long version) {
-		ask();
+		read();
 		this.timer.advance(10);
-		answer(version);
+		respond(version);
 		return this.gateway.proofAgeMs() <= 10;
 	}
 
-	// The answer is of a copy that is older than what this VM knows. A key that was
-	// revoked by a configuration in between would count as proved.
+	// The response comes from a snapshot that is older than the configuration this VM
+	// has. A key that was revoked in between would be accepted as proved.
 	@Test
-	void anOlderConfigurationProvesNothing() {
+	void anOlderConfigurationIsNoProof() {
 		Assertions.assertThat(proves(5)).isTrue();
 		this.timer.advance(1_000);
 		Assertions.assertThat(proves(4)).isFalse();
 	}
 
-	// The store has come back from a copy. The operator may have revoked a key by a
-	// configuration that this VM has not heard of and that went with what was lost.
+	// The store was restored from a snapshot. The restore may have lost a configuration
+	// that revoked a key and that this VM has never received.
 	@Test
-	void nothingIsProvedWhileTheOperatorMayStillWriteAgain() {
+	void aKnownConfigurationIsNoProofUntilTheRestoreHasSettled() {
 		proves(5);
 		this.timer.advance(1_000);
 		this.reader.onStoreRestored(2_500);
@@ -124,7 +125,7 @@
 	}
 
 	@Test
-	void aNewerConfigurationShowsThatTheOperatorHasWritten() {
+	void aNewerConfigurationIsAProofDuringARestore() {
 		proves(5);
 		this.timer.advance(1_000);
 		this.reader.onStoreRestored(2_500);
--- a/src/test/java/io/shallotspur/registry/EraTrackerTests.java
+++ b/src/test/java/io/shallotspur/registry/EraTrackerTests.java
@@ -14,49 +14,51 @@
 
 	private final EraTracker eras = new EraTracker();
 
-	private EraStatus hear(long era) {
+	private EraStatus observe(long era) {
 		return this.eras.observe(OptionalLong.of(era));
 	}
 
 	@Test
-	void learnsTheEraFromTheFirstAnswer() {
-		Assertions.assertThat(hear(4)).isEqualTo(EraStatus.CURRENT);
-		Assertions.assertThat(hear(4)).isEqualTo(EraStatus.CURRENT);
+	void learnsTheEraFromTheFirstResponse() {
+		Assertions.assertThat(observe(4)).isEqualTo(EraStatus.CURRENT);
+		Assertions.assertThat(observe(4)).isEqualTo(EraStatus.CURRENT);
 		Assertions.assertThat(this.eras.era()).isEqualTo(4);
 	}
 
 	@Test
-	void tellsThatTheStoreWasRestored() {
-		hear(4);
-		Assertions.assertThat(hear(6)).isEqualTo(EraStatus.RESTORED);
-		Assertions.assertThat(hear(6)).isEqualTo(EraStatus.CURRENT);
+	void reportsARestoreForALaterEra() {
+		observe(4);
+		Assertions.assertThat(observe(6)).isEqualTo(EraStatus.RESTORED);
+		Assertions.assertThat(observe(6)).isEqualTo(EraStatus.CURRENT);
 	}
 
-	// An answer of before the return arrives late on another connection and brings back
-	// what the store has lost.
+	// A response from before the restore is delayed on another connection. Accepting it
+	// would bring back data that the store has lost.
 	@Test
-	void dropsAnAnswerOfAnEarlierEra() {
-		hear(4);
-		hear(5);
-		Assertions.assertThat(hear(4)).isEqualTo(EraStatus.OUTDATED);
+	void rejectsAResponseOfAnEarlierEra() {
+		observe(4);
+		observe(5);
+		Assertions.assertThat(observe(4)).isEqualTo(EraStatus.OUTDATED);
 		Assertions.assertThat(this.eras.era()).isEqualTo(5);
 	}
 
-	// A store without eras never tells one; all its answers have to be taken.
+	// A store without eras never sends one; all its responses must be accepted.
 	@Test
-	void takesAnswersWithoutAnEraUntilOneHasIt() {
+	void acceptsResponsesWithoutAnEraUntilOneHasAnEra() {
 		Assertions.assertThat(this.eras.observe(OptionalLong.empty())).isEqualTo(EraStatus.CURRENT);
 		Assertions.assertThat(this.eras.observe(OptionalLong.empty())).isEqualTo(EraStatus.CURRENT);
-		Assertions.assertThat(hear(1)).isEqualTo(EraStatus.RESTORED);
+		Assertions.assertThat(observe(1)).isEqualTo(EraStatus.RESTORED);
 		Assertions.assertThat(this.eras.observe(OptionalLong.empty())).isEqualTo(EraStatus.OUTDATED);
 	}
 
-	// Revisions fall back with the store. A worker that has seen a higher fencing number
+	// A restore decreases the revision. A worker that has seen a higher fencing token
 	// would refuse all orders from then on.
 	@Test
-	void fencesRiseThoughRevisionsFallBack() {
-		Assertions.assertThat(new StorePosition(2, 10).fencingToken()).isGreaterThan(new StorePosition(1, 5_000_000).fencingToken());
-		Assertions.assertThat(new StorePosition(2, 11).fencingToken()).isGreaterThan(new StorePosition(2, 10).fencingToken());
+	void fencingTokensIncreaseAlthoughRevisionsDecrease() {
+		Assertions.assertThat(new StorePosition(2, 10).fencingToken())
+			.isGreaterThan(new StorePosition(1, 5_000_000).fencingToken());
+		Assertions.assertThat(new StorePosition(2, 11).fencingToken())
+			.isGreaterThan(new StorePosition(2, 10).fencingToken());
 		Assertions.assertThat(new StorePosition(0, 40).fencingToken()).isEqualTo(40);
 	}
 
--- a/src/test/java/io/shallotspur/registry/FakeRegistry.java
+++ b/src/test/java/io/shallotspur/registry/FakeRegistry.java
@@ -20,12 +20,12 @@
 import io.shallotspur.route.RouteTable;
 
 /**
- * A registry whose answers the test gives by hand. A call that nothing was prepared for
- * stays open.
+ * A registry whose responses the test supplies. A watch or a configuration read stays
+ * pending until the test completes it.
  */
 public final class FakeRegistry implements Registry {
 
-	/** What the next listings bring. */
+	/** The results of the next listings; without one, a listing fails. */
 	public final Deque<RegistryUpdate> listings = new ArrayDeque<>();
 
 	final List<Long> watchedAfter = new ArrayList<>();
@@ -34,17 +34,17 @@
 
 	long lastWaitMs;
 
-	/** What is announced of workers. */
+	/** The announced next stage of each worker. */
 	public final Map<String, WorkerStage> announcedStages = new HashMap<>();
 
-	/** Who holds the duty. */
+	/** The current leader. */
 	public RegistryChange.@Nullable LeaderElected leader;
 
 	int claimCalls;
 
 	int configurationReads;
 
-	/** Answers the latest question for the configuration. */
+	/** Completes the latest read of the configuration. */
 	public Sinks.One<RouteTable> pendingConfiguration = Sinks.one();
 
 	int leases;
@@ -59,10 +59,9 @@
 
 	final List<Long> settledEras = new ArrayList<>();
 
-	/** The store's era. */
 	long era;
 
-	private LongConsumer onRestored = (e) -> {
+	private LongConsumer restoreListener = (e) -> {
 	};
 
 	boolean leaseExists = true;
@@ -72,21 +71,21 @@
 	@Nullable Long revokedLease;
 
 	/**
-	 * The store comes back from a copy; what is listed there, the test says.
+	 * Simulates a restore of the store from a snapshot; the test supplies the listing.
 	 */
 	public void restore() {
-		this.onRestored.accept(++this.era);
+		this.restoreListener.accept(++this.era);
 	}
 
 	@Override
-	public void setRestoreListener(LongConsumer then) {
-		this.onRestored = then;
+	public void setRestoreListener(LongConsumer listener) {
+		this.restoreListener = listener;
 	}
 
 	@Override
 	public Mono<RegistryUpdate> list() {
-		RegistryUpdate n = this.listings.poll();
-		return (n != null) ? Mono.just(n) : unavailable();
+		RegistryUpdate u = this.listings.poll();
+		return (u != null) ? Mono.just(u) : unavailableError();
 	}
 
 	@Override
@@ -106,13 +105,13 @@
 	@Override
 	public Mono<Long> openLease(long ttlMs) {
 		this.leases++;
-		return this.storeDown ? unavailable() : Mono.just((long) this.leases);
+		return this.storeDown ? unavailableError() : Mono.just((long) this.leases);
 	}
 
 	@Override
 	public Mono<Boolean> renewLease(long lease) {
 		this.renewals++;
-		return this.storeDown ? unavailable() : Mono.just(this.leaseExists);
+		return this.storeDown ? unavailableError() : Mono.just(this.leaseExists);
 	}
 
 	@Override
@@ -131,40 +130,40 @@
 	@Override
 	public Mono<Boolean> claimLeadership(String vm, long lease) {
 		this.claimCalls++;
-		return this.storeDown ? unavailable() : Mono.just(true);
+		return this.storeDown ? unavailableError() : Mono.just(true);
 	}
 
 	@Override
 	public Mono<Optional<RegistryChange.LeaderElected>> readLeader() {
-		return this.storeDown ? unavailable() : Mono.just(Optional.ofNullable(this.leader));
+		return this.storeDown ? unavailableError() : Mono.just(Optional.ofNullable(this.leader));
 	}
 
 	@Override
-	public Mono<Boolean> announceStageChange(String worker, WorkerStage stage, StorePosition fence, long lease) {
-		boolean mine = this.leader != null && this.leader.electedAt().equals(fence);
-		if (mine) {
+	public Mono<Boolean> announceStageChange(String worker, WorkerStage stage, StorePosition electedAt, long lease) {
+		boolean isLeader = this.leader != null && this.leader.electedAt().equals(electedAt);
+		if (isLeader) {
 			this.announcedStages.put(worker, stage);
 		}
-		return this.storeDown ? unavailable() : Mono.just(mine);
+		return this.storeDown ? unavailableError() : Mono.just(isLeader);
 	}
 
 	@Override
-	public Mono<Boolean> publishStats(String upstream, EngineFigures figures, StorePosition before) {
+	public Mono<Boolean> publishStats(String upstream, EngineFigures newStats, StorePosition expected) {
 		if (this.storeDown) {
-			return unavailable();
+			return unavailableError();
 		}
 		RegistryChange.EngineStatsUpdated old = this.stats.get(upstream);
-		if (!before.equals((old != null) ? old.position() : StorePosition.NONE)) {
+		if (!expected.equals((old != null) ? old.position() : StorePosition.NONE)) {
 			return Mono.just(false);
 		}
-		this.stats.put(upstream,
-				new RegistryChange.EngineStatsUpdated(upstream, figures, new StorePosition(this.era, ++this.revision)));
+		this.stats.put(upstream, new RegistryChange.EngineStatsUpdated(upstream, newStats,
+				new StorePosition(this.era, ++this.revision)));
 		return Mono.just(true);
 	}
 
 	@Override
-	public Mono<Boolean> publishSettled(long e) {
-		this.settledEras.add(e);
+	public Mono<Boolean> publishSettled(long settledEra) {
+		this.settledEras.add(settledEra);
 		return Mono.just(true);
 	}
 
@@ -174,8 +173,8 @@
 		return Mono.empty();
 	}
 
-	static <T> Mono<T> unavailable() {
-		return Mono.error(new StoreUnavailableException("away", "test"));
+	static <T> Mono<T> unavailableError() {
+		return Mono.error(new StoreUnavailableException("unavailable", "test"));
 	}
 
 }
--- a/src/test/java/io/shallotspur/registry/LeadershipTests.java
+++ b/src/test/java/io/shallotspur/registry/LeadershipTests.java
@@ -14,7 +14,7 @@
  */
 class LeadershipTests {
 
-	private static final long TURN_MS = 3_000;
+	private static final long HANDOVER_MS = 3_000;
 
 	private static final String SELF = "vms/b";
 
@@ -27,7 +27,8 @@
 	private final VmRegistration registration = new VmRegistration(this.registry,
 			new EntryVm(SELF, "10.0.0.2:80", "region-1", "hall-a", 1, false), this.timer);
 
-	private final Leadership duty = new Leadership(this.registry, this.registration, this.vms, SELF, TURN_MS, this.timer::now);
+	private final Leadership leadership = new Leadership(this.registry, this.registration, this.vms, SELF, HANDOVER_MS,
+			this.timer::now);
 
 	@BeforeEach
 	void register() {
@@ -35,101 +36,101 @@
 		this.vms.seen(new EntryVm(SELF, "10.0.0.2:80", "region-1", "hall-a", 1, false));
 	}
 
-	private void ask(long afterMs) {
-		this.timer.advance(afterMs);
-		this.duty.claimIfVacant(this.timer.now());
+	private void claimAfter(long delayMs) {
+		this.timer.advance(delayMs);
+		this.leadership.claimIfVacant(this.timer.now());
 	}
 
-	private void hold(String vm, long revision) {
+	private void elect(String vm, long revision) {
 		this.registry.leader = new RegistryChange.LeaderElected(vm, new StorePosition(0, revision));
-		this.duty.onLeader(this.registry.leader, this.timer.now());
+		this.leadership.onLeader(this.registry.leader, this.timer.now());
 	}
 
 	@Test
-	void asksForAFreeDutyOnce() {
-		ask(1_100);
+	void claimsAVacantLeadershipOnce() {
+		claimAfter(1_100);
 		Assertions.assertThat(this.registry.claimCalls).isEqualTo(1);
-		hold(SELF, 7);
-		ask(5_000);
+		elect(SELF, 7);
+		claimAfter(5_000);
 		Assertions.assertThat(this.registry.claimCalls).isEqualTo(1);
-		Assertions.assertThat(this.duty.fencingToken()).isEqualTo(7);
+		Assertions.assertThat(this.leadership.fencingToken()).isEqualTo(7);
 	}
 
-	// A hundred VMs notice at once that the holder has died. If all asked, the store
-	// would have a hundred calls to refuse.
+	// A hundred VMs notice at the same time that the leader has died. If all claimed the
+	// leadership, the store would have to refuse a hundred calls.
 	@Test
-	void letsTheVmsBeforeItAskFirst() {
+	void claimsAfterTheVmsOfALowerRank() {
 		this.vms.seen(new EntryVm("vms/a", "10.0.0.1:80", "region-1", "hall-a", 1, false));
-		ask(1_100);
+		claimAfter(1_100);
 		Assertions.assertThat(this.registry.claimCalls).isZero();
-		ask(400);
+		claimAfter(400);
 		Assertions.assertThat(this.registry.claimCalls).isEqualTo(1);
 	}
 
-	// The holder before it may have sent an order just before it died. Orders of two VMs
-	// that arrive interleaved would undo one another.
+	// The former leader may have sent an order just before it died. Interleaved orders of
+	// two VMs would undo each other.
 	@Test
-	void waitsForATurnBeforeItActs() {
-		hold(SELF, 7);
-		this.timer.advance(TURN_MS);
-		Assertions.assertThat(this.duty.mayAct(this.timer.now())).isFalse();
+	void waitsForTheHandoverBeforeItActs() {
+		elect(SELF, 7);
+		this.timer.advance(HANDOVER_MS);
+		Assertions.assertThat(this.leadership.mayAct(this.timer.now())).isFalse();
 		this.timer.advance(2_000);
-		Assertions.assertThat(this.duty.mayAct(this.timer.now())).isTrue();
+		Assertions.assertThat(this.leadership.mayAct(this.timer.now())).isTrue();
 	}
 
 	@Test
-	void doesNotActForAnother() {
-		hold("vms/a", 7);
+	void doesNotActWhileAnotherVmLeads() {
+		elect("vms/a", 7);
 		this.timer.advance(60_000);
-		Assertions.assertThat(this.duty.mayAct(this.timer.now())).isFalse();
+		Assertions.assertThat(this.leadership.mayAct(this.timer.now())).isFalse();
 	}
 
-	// The VM was paused for longer than its lease; another has taken over and this one
-	// has not heard. It must not give an order with the old fencing number.
+	// The VM was paused for longer than its lease, and another VM has taken over without
+	// this one knowing. It must not send an order with the old fencing token.
 	@Test
-	void isNotConfirmedOnceAnotherHasTakenOver() {
-		hold(SELF, 7);
-		Assertions.assertThat(this.duty.confirm().block()).isTrue();
+	void isNotConfirmedOnceAnotherVmHasTakenOver() {
+		elect(SELF, 7);
+		Assertions.assertThat(this.leadership.confirm().block()).isTrue();
 		this.registry.leader = new RegistryChange.LeaderElected("vms/a", new StorePosition(0, 9));
-		Assertions.assertThat(this.duty.confirm().block()).isFalse();
-		Assertions.assertThat(this.duty.announceStageChange("w1", WorkerStage.DECODE).block()).isFalse();
+		Assertions.assertThat(this.leadership.confirm().block()).isFalse();
+		Assertions.assertThat(this.leadership.announceStageChange("w1", WorkerStage.DECODE).block()).isFalse();
 		Assertions.assertThat(this.registry.announcedStages).isEmpty();
 	}
 
-	// Its own registration lapsed and was made again: the duty went with the old lease
-	// and comes back with a higher number.
+	// The VM's registration expired and was renewed: the leadership was lost with the old
+	// lease, and is gained again with a higher fencing token.
 	@Test
-	void beginsANewTurnWithANewNumber() {
-		hold(SELF, 7);
+	void repeatsTheHandoverWithANewFencingToken() {
+		elect(SELF, 7);
 		this.timer.advance(10_000);
-		this.duty.onLeader(null, this.timer.now());
-		Assertions.assertThat(this.duty.mayAct(this.timer.now())).isFalse();
-		hold(SELF, 12);
-		Assertions.assertThat(this.duty.mayAct(this.timer.now())).isFalse();
-		Assertions.assertThat(this.duty.fencingToken()).isEqualTo(12);
+		this.leadership.onLeader(null, this.timer.now());
+		Assertions.assertThat(this.leadership.mayAct(this.timer.now())).isFalse();
+		elect(SELF, 12);
+		Assertions.assertThat(this.leadership.mayAct(this.timer.now())).isFalse();
+		Assertions.assertThat(this.leadership.fencingToken()).isEqualTo(12);
 	}
 
-	// The store comes back from a copy in which another one holds the duty, or nobody. An
-	// order of this VM could cross one of the next holder.
+	// The store is restored from a snapshot in which another VM or none is the leader. An
+	// order of this VM could interleave with one of the next leader.
 	@Test
-	void endsWhenTheStoreWasRestored() {
-		hold(SELF, 7);
+	void endsWhenTheStoreIsRestored() {
+		elect(SELF, 7);
 		this.timer.advance(10_000);
-		this.duty.onStoreRestored(this.timer.now());
-		Assertions.assertThat(this.duty.mayAct(this.timer.now())).isFalse();
-		Assertions.assertThat(this.duty.announceStageChange("w1", WorkerStage.DECODE).block()).isFalse();
-		ask(1_100);
+		this.leadership.onStoreRestored(this.timer.now());
+		Assertions.assertThat(this.leadership.mayAct(this.timer.now())).isFalse();
+		Assertions.assertThat(this.leadership.announceStageChange("w1", WorkerStage.DECODE).block()).isFalse();
+		claimAfter(1_100);
 		Assertions.assertThat(this.registry.claimCalls).isEqualTo(1);
 	}
 
 	@Test
-	void asksAgainLaterWhenTheStoreIsAway() {
+	void retriesTheClaimAfterAStoreOutage() {
 		this.registry.storeDown = true;
-		ask(1_100);
-		ask(100);
+		claimAfter(1_100);
+		claimAfter(100);
 		Assertions.assertThat(this.registry.claimCalls).isEqualTo(1);
 		this.registry.storeDown = false;
-		ask(1_100);
+		claimAfter(1_100);
 		Assertions.assertThat(this.registry.claimCalls).isEqualTo(2);
 	}
 
--- a/src/test/java/io/shallotspur/registry/RegistryWatcherTests.java
+++ b/src/test/java/io/shallotspur/registry/RegistryWatcherTests.java
@@ -28,7 +28,7 @@
  */
 class RegistryWatcherTests {
 
-	private static final long LEAVE_MS = 2_000;
+	private static final long DRAIN_MS = 2_000;
 
 	private final ManualTimer timer = new ManualTimer();
 
@@ -38,8 +38,8 @@
 			new GatewayPorts(new NopWorkers(), this.timer, this.timer::now, this.timer::now, () -> 0.5,
 					new DecisionLog(0), new RelayMetrics(new MetricRegistry())));
 
-	private final RegistryWatcher follower = new RegistryWatcher(this.registry, this.gateway, this.timer,
-			this.timer::now, () -> 0.5, new ChangeDeadlines(LEAVE_MS, 3_000));
+	private final RegistryWatcher watcher = new RegistryWatcher(this.registry, this.gateway, this.timer,
+			this.timer::now, () -> 0.5, new ChangeDeadlines(DRAIN_MS, 3_000));
 
 	private static RegistryChange worker(String id) {
 		return new RegistryChange.WorkerUpdated(
@@ -54,76 +54,76 @@
 		return this.gateway.roster().size(this.timer.now());
 	}
 
-	private void follow(RegistryChange... changes) {
+	private void start(RegistryChange... changes) {
 		this.registry.listings.add(new RegistryUpdate(new StorePosition(0, 10), List.of(changes)));
-		this.follower.start();
+		this.watcher.start();
 	}
 
-	private void tell(long revision, RegistryChange... changes) {
+	private void deliver(long revision, RegistryChange... changes) {
 		this.registry.pendingWatch.tryEmitValue(new RegistryUpdate(new StorePosition(0, revision), List.of(changes)));
 	}
 
-	private void lose() {
-		this.registry.pendingWatch.tryEmitError(new StoreUnavailableException("away", "test"));
+	private void failWatch() {
+		this.registry.pendingWatch.tryEmitError(new StoreUnavailableException("unavailable", "test"));
 	}
 
 	@Test
-	void takesTheListingAndWatchesFromThere() {
-		follow(config(3), worker("w1"));
+	void listsAndThenWatchesFromThePositionOfTheListing() {
+		start(config(3), worker("w1"));
 		Assertions.assertThat(this.gateway.table().orElseThrow().version()).isEqualTo(3);
 		Assertions.assertThat(workers()).isEqualTo(1);
 		Assertions.assertThat(this.registry.watchedAfter).containsExactly(10L);
-		Assertions.assertThat(this.follower.initialized()).isTrue();
+		Assertions.assertThat(this.watcher.initialized()).isTrue();
 	}
 
-	// Many workers start at once. A watch for each of their entries would be billed as a
+	// Many workers start at once. A separate watch for each entry would be billed as one
 	// call each.
 	@Test
-	void gathersChangesThatComeTogether() {
-		follow(config(3));
-		tell(11, worker("w1"));
+	void batchesChangesOfABurst() {
+		start(config(3));
+		deliver(11, worker("w1"));
 		Assertions.assertThat(this.registry.watchedAfter).hasSize(1);
 		this.timer.advance(200);
 		Assertions.assertThat(this.registry.watchedAfter).containsExactly(10L, 11L);
 	}
 
-	// A hundred VMs fetch each change a hundred times.
+	// Each VM fetches each change, so a hundred VMs make a hundred calls for it.
 	@Test
-	void gathersForLongerInALargeFleet() {
+	void batchesForLongerInALargeFleet() {
 		RegistryChange[] vms = new RegistryChange[100];
 		for (int i = 0; i < vms.length; i++) {
 			vms[i] = new RegistryChange.VmUpdated(
 					new EntryVm("vms/" + i, "10.0.1." + i + ":80", "region-1", "hall-a", 1, false));
 		}
-		follow(vms);
-		tell(11, worker("w1"));
+		start(vms);
+		deliver(11, worker("w1"));
 		this.timer.advance(450);
 		Assertions.assertThat(this.registry.watchedAfter).hasSize(1);
 		this.timer.advance(100);
 		Assertions.assertThat(this.registry.watchedAfter).containsExactly(10L, 11L);
 	}
 
-	// Ninety of a hundred VMs stand by. If each fetched each change as soon as those that
-	// serve, nine in ten of the store's calls would be for nobody.
+	// Ninety of a hundred VMs are on standby. If they fetched changes as soon as the
+	// serving VMs, nine in ten of the calls would serve no request.
 	@Test
-	void gathersForLongerWhileItStandsBy() {
-		this.gateway.vms().own(vm("vms/weak", 1).vm());
-		follow(vm("vms/strong-1", 2), vm("vms/strong-2", 2), vm("vms/weak", 1));
-		tell(11, worker("w1"));
+	void batchesForLongerOnStandby() {
+		this.gateway.vms().own(vm("vms/standby", 1).vm());
+		start(vm("vms/serving-1", 2), vm("vms/serving-2", 2), vm("vms/standby", 1));
+		deliver(11, worker("w1"));
 		this.timer.advance(950);
 		Assertions.assertThat(this.registry.watchedAfter).hasSize(1);
 		this.timer.advance(100);
 		Assertions.assertThat(this.registry.watchedAfter).containsExactly(10L, 11L);
 	}
 
-	// The store turns a VM away that stands by, for seconds. Each of its calls is billed,
-	// and nobody waits for what it would hear.
+	// The store refuses the calls of a standby VM for seconds. Each call is billed, and
+	// no request depends on its result.
 	@Test
-	void asksLessOftenWhileItStandsByAndTheStoreIsAway() {
-		this.gateway.vms().own(vm("vms/weak", 1).vm());
-		follow(vm("vms/strong-1", 2), vm("vms/strong-2", 2), vm("vms/weak", 1));
+	void retriesLessOftenOnStandby() {
+		this.gateway.vms().own(vm("vms/standby", 1).vm());
+		start(vm("vms/serving-1", 2), vm("vms/serving-2", 2), vm("vms/standby", 1));
 		for (int i = 0; i < 200; i++) {
-			lose();
+			failWatch();
 			this.timer.advance(50);
 		}
 		Assertions.assertThat(this.registry.watchedAfter).hasSizeBetween(5, 12);
@@ -134,60 +134,61 @@
 	}
 
 	@Test
-	void aWorkerWhoseEntryIsGoneGetsNothingMore() {
-		follow(worker("w1"));
-		tell(11, new RegistryChange.WorkerRemoved("w1"));
+	void aWorkerWhoseEntryIsRemovedIsNoLongerUsed() {
+		start(worker("w1"));
+		deliver(11, new RegistryChange.WorkerRemoved("w1"));
 		Assertions.assertThat(workers()).isZero();
 	}
 
-	// The store is away and the entries of living workers lapse. Taken as gone, no
-	// request could be served until the workers have written their entries again.
+	// During an outage of the store the entries of living workers expire. If they were
+	// taken as removed, no request could be served until the workers have written again.
 	@Test
-	void entriesThatLapsedWhileTheStoreWasAwayAreWaitedFor() {
-		follow(worker("w1"));
-		lose();
+	void workersWhoseEntriesExpireDuringAnOutageHaveAGracePeriod() {
+		start(worker("w1"));
+		failWatch();
 		this.timer.advance(400);
-		tell(20, new RegistryChange.WorkerRemoved("w1"));
+		deliver(20, new RegistryChange.WorkerRemoved("w1"));
 		Assertions.assertThat(workers()).isEqualTo(1);
-		this.timer.advance(LEAVE_MS);
+		this.timer.advance(DRAIN_MS);
 		Assertions.assertThat(workers()).isZero();
 	}
 
-	// Requests reach a worker that has left, long after all VMs had to know it.
+	// A worker leaves some time after an outage. A grace period counted from when this VM
+	// learns of it would send it requests long after the drain deadline.
 	@Test
-	void aWorkerThatLeavesAfterTheStoreIsBackGetsNothingOnceItsTimeIsUp() {
-		this.gateway.vms().own(vm("vms/weak", 1).vm());
-		follow(config(3), vm("vms/strong-1", 2), vm("vms/strong-2", 2), vm("vms/weak", 1), worker("w1"));
-		lose();
+	void aWorkerThatLeavesAfterAnOutageIsNotUsedBeyondTheDeadline() {
+		this.gateway.vms().own(vm("vms/standby", 1).vm());
+		start(config(3), vm("vms/serving-1", 2), vm("vms/serving-2", 2), vm("vms/standby", 1), worker("w1"));
+		failWatch();
 		this.timer.advance(400);
-		tell(20);
+		deliver(20);
 		this.timer.advance(2_500);
-		tell(21, config(4));
+		deliver(21, config(4));
 		this.timer.advance(280);
-		long left = this.timer.now();
+		long leftAt = this.timer.now();
 		this.timer.advance(720);
-		tell(22, new RegistryChange.WorkerRemoved("w1"));
-		this.timer.advance(LEAVE_MS - (this.timer.now() - left));
+		deliver(22, new RegistryChange.WorkerRemoved("w1"));
+		this.timer.advance(DRAIN_MS - (this.timer.now() - leftAt));
 		Assertions.assertThat(workers()).isZero();
 	}
 
 	@Test
-	void anEntryThatComesBackInTimeKeepsItsWorker() {
-		follow(worker("w1"));
-		lose();
+	void aWorkerThatWritesAgainInTheGracePeriodIsKept() {
+		start(worker("w1"));
+		failWatch();
 		this.timer.advance(400);
-		tell(20, new RegistryChange.WorkerRemoved("w1"));
+		deliver(20, new RegistryChange.WorkerRemoved("w1"));
 		this.timer.advance(400);
-		tell(21, worker("w1"));
+		deliver(21, worker("w1"));
 		this.timer.advance(10_000);
 		Assertions.assertThat(workers()).isEqualTo(1);
 	}
 
-	// The store has dropped its history while this VM could not watch. Changes in the gap
-	// would be missed for good unless all is read again.
+	// The store dropped its history while this VM could not watch. Without a new listing
+	// the changes in the gap would be lost permanently.
 	@Test
-	void readsAllAgainWhenTheHistoryIsGone() {
-		follow(config(3), worker("w1"), worker("w2"));
+	void listsAgainWhenTheHistoryIsGone() {
+		start(config(3), worker("w1"), worker("w2"));
 		this.registry.listings.add(new RegistryUpdate(new StorePosition(0, 30), List.of(config(4), worker("w2"))));
 		this.registry.pendingWatch.tryEmitError(new StoreHistoryGoneException("gone", "10"));
 		Assertions.assertThat(this.gateway.table().orElseThrow().version()).isEqualTo(4);
@@ -195,109 +196,109 @@
 		Assertions.assertThat(this.registry.watchedAfter).endsWith(30L);
 	}
 
-	// The store falls silent while a watch waits there, and comes back without it. The
-	// watch would wait on for its whole time, and a configuration that is published
-	// meanwhile would be unknown here.
+	// The store becomes silent during a watch and loses it. The watch would wait until
+	// its timeout, and a configuration that is published meanwhile would stay unknown
+	// here.
 	@Test
-	void asksAgainWhenAnotherCallIsNotAnswered() {
-		follow(config(3));
+	void replacesTheWatchWhenAnotherCallIsUnanswered() {
+		start(config(3));
 		Assertions.assertThat(this.registry.watchedAfter).hasSize(1);
-		this.follower.onCallUnanswered();
-		Assertions.assertThat(this.follower.storeUnavailable()).isTrue();
+		this.watcher.onCallUnanswered();
+		Assertions.assertThat(this.watcher.storeUnavailable()).isTrue();
 		this.timer.advance(300);
 		Assertions.assertThat(this.registry.watchedAfter).hasSize(2);
 		Assertions.assertThat(this.registry.lastWaitMs).isZero();
-		tell(12, config(4));
+		deliver(12, config(4));
 		Assertions.assertThat(this.gateway.table().orElseThrow().version()).isEqualTo(4);
 	}
 
-	// Each of many renewals that fail while nothing waits would begin a chain of calls of
-	// its own.
+	// Several lease renewals fail while no watch is pending. Each would start a separate
+	// chain of calls.
 	@Test
-	void asksOnceHoweverOftenTheStoreIsDoubted() {
-		follow(config(3));
-		this.follower.onCallUnanswered();
-		this.follower.onCallUnanswered();
+	void repeatedUnansweredCallsStartOneChainOfCalls() {
+		start(config(3));
+		this.watcher.onCallUnanswered();
+		this.watcher.onCallUnanswered();
 		this.timer.advance(300);
-		this.follower.onCallUnanswered();
+		this.watcher.onCallUnanswered();
 		this.timer.advance(1_000);
 		Assertions.assertThat(this.registry.watchedAfter).hasSize(2);
 	}
 
 	@Test
-	void keepsWhatItKnowsWhileTheStoreIsAway() {
-		follow(config(3), worker("w1"));
-		lose();
+	void keepsTheLastStateDuringAnOutage() {
+		start(config(3), worker("w1"));
+		failWatch();
 		for (int i = 0; i < 20; i++) {
 			this.timer.advance(500);
-			lose();
+			failWatch();
 		}
 		Assertions.assertThat(this.gateway.table()).isPresent();
 		Assertions.assertThat(workers()).isEqualTo(1);
 		Assertions.assertThat(this.registry.watchedAfter).hasSizeBetween(8, 21);
 	}
 
-	// The store drops this VM's registration (it was taken for dead). Callers would no
-	// longer be sent here although it serves.
+	// The store drops this VM's registration because it took the VM for dead. Callers
+	// would no longer be directed to it although it serves requests.
 	@Test
-	void tellsWhenTheOwnRegistrationIsGone() {
-		AtomicInteger gone = new AtomicInteger();
-		this.follower.setOwnRegistration("vms/me", gone::incrementAndGet);
-		follow(config(3),
+	void reportsTheRemovalOfTheOwnRegistration() {
+		AtomicInteger removals = new AtomicInteger();
+		this.watcher.setOwnRegistration("vms/me", removals::incrementAndGet);
+		start(config(3),
 				new RegistryChange.VmUpdated(new EntryVm("vms/me", "10.0.0.9:80", "region-1", "hall-a", 1, false)));
-		tell(11, new RegistryChange.VmRemoved("vms/me"));
-		Assertions.assertThat(gone).hasValue(1);
+		deliver(11, new RegistryChange.VmRemoved("vms/me"));
+		Assertions.assertThat(removals).hasValue(1);
 		Assertions.assertThat(this.gateway.vms().count(this.timer.now())).isEqualTo(1);
 	}
 
-	// The store goes silent and returns. A call that was to wait for seconds was lost
-	// with it: a route that the operator had added meanwhile was refused as unknown
-	// until that call's time was up.
+	// The store becomes silent and recovers. A watch with a long wait was lost: a route
+	// that the operator had added meanwhile was refused as unknown until the watch timed
+	// out.
 	@Test
-	void asksWithoutWaitingUntilTheStoreIsBack() {
-		follow(config(3));
+	void pollsWithoutAWaitUntilTheStoreIsBack() {
+		start(config(3));
 		Assertions.assertThat(this.registry.lastWaitMs).isPositive();
-		lose();
+		failWatch();
 		this.timer.advance(1_000);
 		Assertions.assertThat(this.registry.lastWaitMs).isZero();
-		tell(11);
+		deliver(11);
 		Assertions.assertThat(this.registry.lastWaitMs).isPositive();
 	}
 
-	// Another program writes over a worker's entry, or leaves one beside it. Whatever
-	// stood there names no worker now, and the others are not touched by it.
+	// Another program overwrites a worker's entry with an unreadable one, or adds one.
+	// The worker is removed, and the other workers are not affected.
 	@Test
-	void anEntryThatCannotBeReadNamesNoWorker() {
-		follow(config(3), worker("w1"), worker("w2"));
-		tell(11, new RegistryChange.EntryUnreadable("servers/w1", "w1", "The entry is not an object."));
+	void anUnreadableEntryRemovesItsWorker() {
+		start(config(3), worker("w1"), worker("w2"));
+		deliver(11, new RegistryChange.EntryUnreadable("servers/w1", "w1", "The entry is not an object."));
 		Assertions.assertThat(workers()).isEqualTo(1);
 		this.timer.advance(1_000);
-		tell(12, worker("w1"));
+		deliver(12, worker("w1"));
 		Assertions.assertThat(workers()).isEqualTo(2);
 	}
 
 	@Test
-	void aListingWithAnEntryThatCannotBeReadStaysWhole() {
-		follow(config(3), new RegistryChange.EntryUnreadable("servers/w0", "w0", "The value is not JSON."), worker("w1"),
+	void anUnreadableEntryDoesNotAffectTheRestOfAListing() {
+		start(config(3), new RegistryChange.EntryUnreadable("servers/w0", "w0", "The value is not JSON."), worker("w1"),
 				new RegistryChange.EntryUnreadable("op/config", null, "The value is not JSON."));
 		Assertions.assertThat(workers()).isEqualTo(1);
 		Assertions.assertThat(this.gateway.table()).isPresent();
 	}
 
-	// A connection to the store was reset and made again at once. Four seconds later
-	// another VM loses power. Were it kept for as long as one whose registration lapsed
-	// while the store was away, callers would be sent to it for five seconds more.
+	// A connection to the store is reset and reopened immediately. Four seconds later
+	// another VM loses power. With the grace period for registrations that expired during
+	// an outage, callers would be directed to it for five more seconds.
 	@Test
-	void aVmThatDiesSomeTimeAfterTheStoreWasBackIsSoonForgotten() {
-		this.follower.setOwnRegistration("vms/me", () -> {
+	void aVmThatDiesAfterAnOutageIsSoonRemoved() {
+		this.watcher.setOwnRegistration("vms/me", () -> {
 		});
-		follow(config(3),
+		start(config(3),
 				new RegistryChange.VmUpdated(new EntryVm("vms/other", "10.0.0.9:80", "region-1", "hall-a", 1, false)));
-		lose();
+		failWatch();
 		this.timer.advance(400);
-		tell(20);
+		deliver(20);
 		this.timer.advance(4_000);
-		tell(21, new RegistryChange.VmRemoved("vms/other"));
+		deliver(21, new RegistryChange.VmRemoved("vms/other"));
 		this.timer.advance(1_000);
 		Assertions.assertThat(this.gateway.vms().count(this.timer.now())).isZero();
 	}
@@ -317,40 +318,40 @@
 		this.timer.advance(20);
 	}
 
-	// Revisions go back with the store. A watch that went on from the one that was known
-	// would wait for what lies ahead of the store, and hear nothing until then.
+	// A restore decreases the revision. A watch that continued from the known revision
+	// would return nothing until the store has reached that revision again.
 	@Test
-	void readsAllAnewWhenTheStoreWasRestored() {
-		follow(config(3), worker("w1"));
-		tell(90, config(4));
+	void listsAgainAfterARestore() {
+		start(config(3), worker("w1"));
+		deliver(90, config(4));
 		this.timer.advance(200);
 		restore(40, config(3), worker("w1"));
 		Assertions.assertThat(this.registry.watchedAfter).endsWith(40L);
 		Assertions.assertThat(this.gateway.table().orElseThrow().version()).isEqualTo(4);
-		tell(41, config(5));
+		deliver(41, config(5));
 		Assertions.assertThat(this.gateway.table().orElseThrow().version()).isEqualTo(5);
 	}
 
-	// The copy shows a worker as it was before it said that it leaves. Requests would
+	// The snapshot shows a worker as it was before it started draining. Requests would
 	// reach it while it exits.
 	@Test
-	void aWorkerThatLeavesStaysSoWhenTheStoreWasRestored() {
-		follow(config(3), worker("w1"), worker("w2"));
-		tell(11, leaving("w1"));
+	void aDrainingWorkerStaysDrainingAfterARestore() {
+		start(config(3), worker("w1"), worker("w2"));
+		deliver(11, leaving("w1"));
 		this.timer.advance(200);
 		restore(9, config(3), worker("w1"), worker("w2"));
 		Assertions.assertThat(staying()).containsExactly("w2");
-		tell(10, leaving("w1"));
+		deliver(10, leaving("w1"));
 		this.timer.advance(3_000);
 		Assertions.assertThat(staying()).containsExactly("w2");
 	}
 
-	// The copy brings back the entry of a worker that is gone. It is used again only if
-	// it is still there once workers have had the time to write.
+	// The snapshot contains the entry of a removed worker. It is used again only if the
+	// entry still exists once the workers have had time to write.
 	@Test
-	void aWorkerThatIsGoneStaysSoUntilTheStoreHasSettled() {
-		follow(config(3), worker("w1"), worker("w2"));
-		tell(11, new RegistryChange.WorkerRemoved("w1"));
+	void aRemovedWorkerStaysRemovedUntilTheRestoreHasSettled() {
+		start(config(3), worker("w1"), worker("w2"));
+		deliver(11, new RegistryChange.WorkerRemoved("w1"));
 		this.timer.advance(200);
 		restore(9, config(3), worker("w1"), worker("w2"));
 		Assertions.assertThat(staying()).containsExactly("w2");
@@ -360,35 +361,35 @@
 		Assertions.assertThat(staying()).containsExactlyInAnyOrder("w1", "w2");
 	}
 
-	// The copy is from before a worker came. Taken as gone, it would get nothing until it
-	// has written its entry again.
+	// The snapshot was taken before a worker registered. If the worker were taken as
+	// removed, it would get no requests until it has written its entry again.
 	@Test
-	void aWorkerThatTheCopyLacksIsWaitedFor() {
-		follow(config(3), worker("w1"));
-		tell(11, worker("w2"));
+	void aWorkerThatTheSnapshotLacksHasAGracePeriod() {
+		start(config(3), worker("w1"));
+		deliver(11, worker("w2"));
 		this.timer.advance(200);
 		restore(9, config(3), worker("w1"));
 		Assertions.assertThat(staying()).containsExactlyInAnyOrder("w1", "w2");
-		tell(10, worker("w2"));
+		deliver(10, worker("w2"));
 		this.timer.advance(10_000);
 		Assertions.assertThat(staying()).containsExactlyInAnyOrder("w1", "w2");
 	}
 
 	@Test
-	void aWorkerThatTheCopyLacksIsGoneIfItDoesNotWriteAgain() {
-		follow(config(3), worker("w1"));
-		tell(11, worker("w2"));
+	void aWorkerThatTheSnapshotLacksIsRemovedUnlessItWritesAgain() {
+		start(config(3), worker("w1"));
+		deliver(11, worker("w2"));
 		this.timer.advance(200);
 		restore(9, config(3), worker("w1"));
 		this.timer.advance(3_000);
 		Assertions.assertThat(staying()).containsExactly("w1");
 	}
 
-	// The store comes back from a copy again while the first return has not settled.
+	// The store is restored again before the first restore has settled.
 	@Test
-	void settlesOnceAfterSeveralReturns() {
-		follow(config(3), worker("w1"), worker("w2"));
-		tell(11, leaving("w1"));
+	void settlesOnceAfterSeveralRestores() {
+		start(config(3), worker("w1"), worker("w2"));
+		deliver(11, leaving("w1"));
 		this.timer.advance(200);
 		restore(9, config(3), worker("w1"), worker("w2"));
 		this.timer.advance(1_500);
@@ -403,62 +404,62 @@
 		Assertions.assertThat(this.registry.settledEras).containsExactly(2L);
 	}
 
-	// A return is noticed while a pause runs in which changes are gathered. If the call
-	// after the pause were made as well, two chains of calls would go on from then.
+	// A restore is noticed during the pause that batches changes. If the call after the
+	// pause were made as well, two chains of calls would continue from then on.
 	@Test
-	void followsInOneChainOfCallsAfterARestore() {
-		follow(config(3));
-		tell(11, config(4));
+	void continuesWithOneChainOfCallsAfterARestore() {
+		start(config(3));
+		deliver(11, config(4));
 		restore(9, config(3));
 		this.timer.advance(2_000);
 		Assertions.assertThat(this.registry.watchedAfter).containsExactly(10L, 9L);
 	}
 
-	// A VM starts right after a return. It cannot know that what the store shows is old
-	// unless it finds that no VM has seen this era settle.
+	// A VM starts shortly after a restore. It can only tell that the store is outdated
+	// from the missing record that this era has settled.
 	@Test
-	void aVmThatStartsTakesTheStoreAsUnsettledUntilAVmHasToldSo() {
-		List<Long> outdated = new ArrayList<>();
-		this.follower.setStaleDataListener(outdated::add);
+	void aStartingVmAssumesAnUnsettledStoreUnlessItIsRecordedAsSettled() {
+		List<Long> stalePeriods = new ArrayList<>();
+		this.watcher.setStaleDataListener(stalePeriods::add);
 		this.registry.listings
 			.add(new RegistryUpdate(new StorePosition(3, 10), List.of(config(3), new RegistryChange.EraSettled(2))));
 		this.registry.listings.add(new RegistryUpdate(new StorePosition(3, 12), List.of(config(3))));
-		this.follower.start();
-		Assertions.assertThat(outdated).hasSize(1);
+		this.watcher.start();
+		Assertions.assertThat(stalePeriods).hasSize(1);
 		this.timer.advance(3_000);
 		Assertions.assertThat(this.registry.settledEras).containsExactly(3L);
 	}
 
 	@Test
-	void aVmThatStartsTrustsAStoreThatHasSettled() {
-		List<Long> outdated = new ArrayList<>();
-		this.follower.setStaleDataListener(outdated::add);
+	void aStartingVmTrustsASettledStore() {
+		List<Long> stalePeriods = new ArrayList<>();
+		this.watcher.setStaleDataListener(stalePeriods::add);
 		this.registry.listings
 			.add(new RegistryUpdate(new StorePosition(3, 10), List.of(config(3), new RegistryChange.EraSettled(3))));
-		this.follower.start();
+		this.watcher.start();
 		this.timer.advance(3_000);
-		Assertions.assertThat(outdated).isEmpty();
+		Assertions.assertThat(stalePeriods).isEmpty();
 		Assertions.assertThat(this.registry.settledEras).isEmpty();
 	}
 
-	// Hundreds of VMs notice the return in the same moment. Were they all to list and
-	// register at once, the store would turn most of them away.
+	// Hundreds of VMs notice a restore at the same time. If they all listed and
+	// registered at once, the store would refuse most of their calls.
 	@Test
-	void waitsItsTurnInALargeFleetAfterARestore() {
+	void spreadsItsCallsInALargeFleetAfterARestore() {
 		RegistryChange[] vms = new RegistryChange[400];
 		for (int i = 0; i < vms.length; i++) {
 			vms[i] = vm("vms/" + i, 1);
 		}
-		List<Long> spread = new ArrayList<>();
-		this.follower.addRestoreListener(spread::add);
-		follow(vms);
+		List<Long> delays = new ArrayList<>();
+		this.watcher.addRestoreListener(delays::add);
+		start(vms);
 		this.registry.listings.add(new RegistryUpdate(new StorePosition(1, 9), List.of(config(4))));
 		this.registry.restore();
 		this.timer.advance(350);
 		Assertions.assertThat(this.gateway.table()).isEmpty();
 		this.timer.advance(100);
 		Assertions.assertThat(this.gateway.table()).isPresent();
-		Assertions.assertThat(spread).containsExactly(400L);
+		Assertions.assertThat(delays).containsExactly(400L);
 	}
 
 }
--- a/src/test/java/io/shallotspur/registry/RevocationModelTests.java
+++ b/src/test/java/io/shallotspur/registry/RevocationModelTests.java
@@ -39,36 +39,37 @@
 import io.shallotspur.route.UpstreamSpec;
 
 /**
- * Goes through all orders, up to a length, in which a key is revoked, a VM asks the store
- * and is answered late, the store comes back from an older copy, time passes, the machine
- * is suspended, its clock is set back and callers come.
+ * Plays all sequences of a fixed length in which a key is revoked, a VM reads from the
+ * store and the response is delayed, the store is restored from an older snapshot, time
+ * passes, the machine is suspended, its clock is set back and requests arrive.
  * <p>
- * A key is revoked while the VM is cut off, suspended, or has an answer on its way that
- * was read before. Its thief then uses the VM. No request may run that was sent later
- * than the operator's bound after the revocation.
+ * Guards against this failure: a key is revoked while the VM is disconnected, suspended,
+ * or waiting for a response that was read before the revocation, and someone who has
+ * stolen the key uses that VM. No request may run that was sent after the operator's
+ * deadline for a revocation.
  */
 class RevocationModelTests {
 
-	private static final long REVOKED_MS = 5_000;
+	private static final long REVOCATION_MS = 5_000;
 
-	// The operator has written again so long after the store's return, ms.
-	private static final long WRITTEN_AGAIN_MS = 2_000;
+	// The operator has written again this long after a restore of the store, ms.
+	private static final long REWRITE_MS = 2_000;
 
-	// For so long after it has noticed the return a VM does not trust the store, ms.
-	private static final long OLD_MS = 2_500;
+	// A VM does not trust the store for this long after it noticed a restore, ms.
+	private static final long STALE_MS = 2_500;
 
 	private static final int LENGTH = 8;
 
-	private int ran;
+	private int totalRuns;
 
 	@Test
-	void noRequestRunsWithAKeyThatWasRevokedTooLongAgo() {
+	void noRequestRunsWithAKeyAfterItsRevocationDeadline() {
 		explore(new ArrayList<>());
-		// Had nothing run at all, the above would say nothing.
-		Assertions.assertThat(this.ran).isPositive();
+		// The sequences prove nothing unless some requests ran.
+		Assertions.assertThat(this.totalRuns).isPositive();
 	}
 
-	// Only orders that end with a caller and have one revocation can show the fault.
+	// Only sequences that end with a request and contain one revocation can fail.
 	private void explore(List<Step> steps) {
 		if (steps.size() == LENGTH - 1) {
 			if (steps.contains(Step.REVOKE)) {
@@ -96,42 +97,42 @@
 
 	private void play(List<Step> steps) {
 		World w = new World();
-		steps.forEach(w::take);
-		Assertions.assertThat(w.late).as("%s", steps).isEmpty();
-		this.ran += w.runs;
+		steps.forEach(w::perform);
+		Assertions.assertThat(w.violations).as("%s", steps).isEmpty();
+		this.totalRuns += w.runs;
 	}
 
-	/** What can happen next. */
+	/** A step of a sequence. */
 	private enum Step {
 
-		/** A caller comes with the key. */
+		/** A request with the key arrives. */
 		REQUEST,
 
-		/** The store reads the configuration that the VM has asked for. */
+		/** The store reads the configuration that the VM requested. */
 		READ,
 
-		/** Its answer reaches the VM. */
+		/** Its response reaches the VM. */
 		DELIVER,
 
 		/** The operator revokes the key. */
 		REVOKE,
 
-		/** The store comes back from a copy of before the revocation. */
+		/** The store is restored from a snapshot from before the revocation. */
 		RESTORE,
 
-		/** Half of the bound passes, and a little. */
+		/** Slightly more than half of the deadline passes. */
 		WAIT,
 
-		/** The machine is suspended for the bound and a little. */
+		/** The machine is suspended for slightly longer than the deadline. */
 		SUSPEND,
 
-		/** Someone sets the time of day back by the bound. */
+		/** The wall clock is set back by the length of the deadline. */
 		SET_BACK
 
 	}
 
 	/**
-	 * One VM, the store and the time. Not thread-safe.
+	 * One VM, the store and the clocks. Not thread-safe.
 	 */
 	private static final class World extends NopWorkers {
 
@@ -141,7 +142,7 @@
 
 		private final Map<String, Long> sentAt = new HashMap<>();
 
-		private final List<String> late = new ArrayList<>();
+		private final List<String> violations = new ArrayList<>();
 
 		private final Gateway gateway;
 
@@ -151,44 +152,45 @@
 
 		private long revokedAt = Long.MAX_VALUE;
 
-		// Until then the store does not have the revocation: the operator writes again.
-		private long lostUntil = Long.MIN_VALUE;
+		// Until then the restored store lacks the revocation; then the operator writes it
+		// again.
+		private long revocationLostUntil = Long.MIN_VALUE;
 
 		private long era;
 
 		private long readEra;
 
-		private @Nullable RouteTable read;
+		private @Nullable RouteTable readTable;
 
-		private int answered;
+		private int answeredReads;
 
 		private int runs;
 
 		private World() {
 			this.gateway = new Gateway(
-					new GatewaySettings("vm", "hall-a", 0.2, 50, 10_000).withRevokedKeyMs(REVOKED_MS),
-					new GatewayPorts(this, this.timer, this.timer::now, this::timeOfDay, () -> 0.5, new DecisionLog(0),
+					new GatewaySettings("vm", "hall-a", 0.2, 50, 10_000).withRevokedKeyMs(REVOCATION_MS),
+					new GatewayPorts(this, this.timer, this.timer::now, this::wallClock, () -> 0.5, new DecisionLog(0),
 							new RelayMetrics(new MetricRegistry())));
 			ConfigReader reader = new ConfigReader(this.registry, this.gateway);
 			this.gateway.configSource(reader);
-			this.registry.setRestoreListener((e) -> reader.onStoreRestored(OLD_MS));
+			this.registry.setRestoreListener((e) -> reader.onStoreRestored(STALE_MS));
 			this.gateway.configure(table());
 			this.gateway.roster()
 				.seen(new WorkerInfo("w", "up", "10.0.0.1", 80, "hall-a", 6, WorkerStage.PLAIN, false, 0, 0),
 						this.timer.now());
 		}
 
-		// The time that passes for everybody else.
+		// The real time, which includes suspensions of the VM's machine.
 		private long now() {
 			return this.timer.now() + this.suspendedMs;
 		}
 
-		private long timeOfDay() {
+		private long wallClock() {
 			return now() - this.setBackMs;
 		}
 
 		private RouteTable table() {
-			boolean revoked = this.revokedAt != Long.MAX_VALUE && now() >= this.lostUntil;
+			boolean revoked = this.revokedAt != Long.MAX_VALUE && now() >= this.revocationLostUntil;
 			Route r = new Route("r", "h", "/", RouteKind.SAFE, List.of(new RouteTarget("up", 1)), 800, 300, 0, 0, 2,
 					false, false, false);
 			Customer c = new Customer("acme", revoked ? Set.of() : Set.of(BearerKey.hash("key")), null,
@@ -197,18 +199,18 @@
 					IngressLimits.DEFAULT, List.of(c));
 		}
 
-		private void take(Step s) {
+		private void perform(Step s) {
 			switch (s) {
 				case REQUEST -> request();
 				case READ -> read();
 				case DELIVER -> deliver();
 				case REVOKE -> revoke();
 				case RESTORE -> restore();
-				case WAIT -> this.timer.advance(REVOKED_MS / 2 + 100);
+				case WAIT -> this.timer.advance(REVOCATION_MS / 2 + 100);
 				case SUSPEND -> suspend();
 				case SET_BACK -> setBack();
 			}
-			// The VM reads its clocks all the time.
+			// The VM reads its clocks continuously.
 			this.gateway.elapsedMs();
 		}
 
@@ -225,44 +227,44 @@
 
 		private void restore() {
 			this.era++;
-			this.lostUntil = now() + WRITTEN_AGAIN_MS;
+			this.revocationLostUntil = now() + REWRITE_MS;
 		}
 
 		private void suspend() {
-			this.suspendedMs += REVOKED_MS + 100;
+			this.suspendedMs += REVOCATION_MS + 100;
 		}
 
 		private void setBack() {
-			this.setBackMs += REVOKED_MS;
+			this.setBackMs += REVOCATION_MS;
 		}
 
-		// The store reads when it has been asked, and not before.
+		// The store reads only after the VM has sent a request.
 		private void read() {
-			if (this.registry.configurationReads > this.answered) {
-				this.read = table();
+			if (this.registry.configurationReads > this.answeredReads) {
+				this.readTable = table();
 				this.readEra = this.era;
 			}
 		}
 
 		private void deliver() {
-			if (this.read != null) {
-				this.answered = this.registry.configurationReads;
+			if (this.readTable != null) {
+				this.answeredReads = this.registry.configurationReads;
 				Sinks.One<RouteTable> s = this.registry.pendingConfiguration;
 				this.registry.pendingConfiguration = Sinks.one();
 				if (this.readEra > this.registry.era) {
 					this.registry.restore();
 				}
-				s.tryEmitValue(this.read);
-				this.read = null;
+				s.tryEmitValue(this.readTable);
+				this.readTable = null;
 			}
 		}
 
 		@Override
 		public Exchange run(WorkerCall call, ExchangeListener listener) {
 			this.runs++;
-			long sent = this.sentAt.get(call.request().id());
-			if (this.revokedAt != Long.MAX_VALUE && sent > this.revokedAt + REVOKED_MS) {
-				this.late.add(call.request().id());
+			long requestSentAt = this.sentAt.get(call.request().id());
+			if (this.revokedAt != Long.MAX_VALUE && requestSentAt > this.revokedAt + REVOCATION_MS) {
+				this.violations.add(call.request().id());
 			}
 			return () -> {
 			};
@@ -271,7 +273,7 @@
 	}
 
 	/**
-	 * A caller that does not look at its answer.
+	 * A caller that ignores its response.
 	 */
 	private static final class NopAnswer implements CallerAnswer {
 
--- a/src/test/java/io/shallotspur/registry/SharedEngineStatsTests.java
+++ b/src/test/java/io/shallotspur/registry/SharedEngineStatsTests.java
@@ -23,11 +23,11 @@
 import io.shallotspur.route.UpstreamSpec;
 
 /**
- * Tests of {@link SharedEngineStats}: two VMs before one store.
+ * Tests of {@link SharedEngineStats}: two VMs that share one store.
  */
 class SharedEngineStatsTests {
 
-	private static final EngineFigures MANY = new EngineFigures(64, 3_000, 500, 3_800, 0.03, 0.03, 7,
+	private static final EngineFigures KNOWN = new EngineFigures(64, 3_000, 500, 3_800, 0.03, 0.03, 7,
 			LengthModel.BELIEVED);
 
 	private final ManualTimer timer = new ManualTimer();
@@ -38,35 +38,35 @@
 
 	private final Vm other = new Vm();
 
-	private void hear() {
-		this.registry.stats.values().forEach((f) -> {
-			this.one.figures.onStats(f);
-			this.other.figures.onStats(f);
+	private void deliver() {
+		this.registry.stats.values().forEach((s) -> {
+			this.one.sharedStats.onStats(s);
+			this.other.sharedStats.onStats(s);
 		});
 	}
 
-	// A VM starts in the middle of a burst. Until its own requests had shown it the load,
-	// it would order and refuse as if there were none.
+	// A VM starts during a burst. Without shared statistics it would schedule and refuse
+	// requests as if there were no load, until its own requests had shown the load.
 	@Test
-	void aVmThatHasSeenNothingKnowsWhatTheOthersSaw() {
+	void aVmWithoutSamplesUsesThoseOfOthers() {
 		TimesSeen.requests(this.one.times(), 4, 3_000, 500, 90, 7);
 		this.timer.advance(1_000);
-		hear();
+		deliver();
 		EngineFigures f = this.other.times().known().orElseThrow();
 		Assertions.assertThat(f.samples()).isEqualTo(4);
 		Assertions.assertThat(f.prefillMs()).isEqualTo(90);
 		Assertions.assertThat(f.answerMs()).isEqualTo(3_500);
 	}
 
-	// Both tell in the same moment. If the second overwrote the first, what that VM had
-	// seen would be lost to all.
+	// Both VMs publish at the same time. If the second overwrote the first, the samples
+	// of the first would be lost to all VMs.
 	@Test
-	void addsWhatBothHaveSeen() {
+	void addsTheSamplesOfBothVms() {
 		TimesSeen.requests(this.one.times(), 4, 2_000, 400, 60, 7);
 		TimesSeen.requests(this.other.times(), 4, 4_000, 600, 120, 7);
 		for (int i = 0; i < 8; i++) {
 			this.timer.advance(700);
-			hear();
+			deliver();
 		}
 		EngineFigures f = this.one.times().known().orElseThrow();
 		Assertions.assertThat(f.samples()).isEqualTo(8);
@@ -74,39 +74,39 @@
 		Assertions.assertThat(f.answerTokens()).isEqualTo(500);
 	}
 
-	// Hundreds of VMs tell and hear. If each told of each request, the calls would grow
-	// with the traffic times the VMs.
+	// Hundreds of VMs publish and receive statistics. If each published every request,
+	// the number of calls would grow with the traffic times the number of VMs.
 	@Test
-	void isSilentOnceTheLoadIsKnown() {
+	void publishesNothingOnceTheLoadIsKnown() {
 		Assertions
-			.assertThat(SharedEngineStats.shouldPublish(MANY,
+			.assertThat(SharedEngineStats.shouldPublish(KNOWN,
 					new EngineFigures(20, 3_200, 450, 3_900, 0.031, 0.031, 7.5, LengthModel.BELIEVED)))
 			.isFalse();
 		Assertions
-			.assertThat(SharedEngineStats.shouldPublish(MANY,
+			.assertThat(SharedEngineStats.shouldPublish(KNOWN,
 					new EngineFigures(3, 9_000, 500, 9_800, 0.03, 0.03, 7, LengthModel.BELIEVED)))
 			.isFalse();
 	}
 
-	// The traffic turns to long prompts. What was seen before must not outweigh it for
-	// long, or the workers stay shared out as before.
+	// The traffic shifts to long prompts. If old samples outweighed the new ones for
+	// long, the division of the workers between the stages would stay as it was.
 	@Test
-	void tellsWhenTheTrafficTurns() {
-		this.registry.stats.put("llm", new RegistryChange.EngineStatsUpdated("llm", MANY, new StorePosition(0, 50)));
-		hear();
+	void publishesWhenTheTrafficShifts() {
+		this.registry.stats.put("llm", new RegistryChange.EngineStatsUpdated("llm", KNOWN, new StorePosition(0, 50)));
+		deliver();
 		for (int i = 0; i < 10; i++) {
 			TimesSeen.requests(this.one.times(), 20, 9_000, 500, 270, 7);
 			this.timer.advance(700);
-			hear();
+			deliver();
 		}
 		Assertions.assertThat(this.other.times().known().orElseThrow().promptTokens())
 			.isGreaterThanOrEqualTo(0.75 * 9_000);
 	}
 
-	// The answer of the store was lost, or the store is away: what was seen is told
-	// later.
+	// The response of the store was lost, or the store is unavailable: the samples are
+	// published later.
 	@Test
-	void tellsAgainWhenTheStoreIsBack() {
+	void publishesAgainWhenTheStoreIsBack() {
 		TimesSeen.requests(this.one.times(), 4, 3_000, 500, 90, 7);
 		this.registry.storeDown = true;
 		this.timer.advance(2_000);
@@ -116,41 +116,41 @@
 		Assertions.assertThat(this.registry.stats).hasSize(1);
 	}
 
-	// A listing can be older than a change that came before it.
+	// A listing can be older than a change that was received before it.
 	@Test
-	void isNotMisledByOlderNews() {
-		this.one.figures.onStats(new RegistryChange.EngineStatsUpdated("llm", MANY, new StorePosition(0, 50)));
-		this.one.figures.onStats(new RegistryChange.EngineStatsUpdated("llm",
+	void ignoresAnOlderUpdate() {
+		this.one.sharedStats.onStats(new RegistryChange.EngineStatsUpdated("llm", KNOWN, new StorePosition(0, 50)));
+		this.one.sharedStats.onStats(new RegistryChange.EngineStatsUpdated("llm",
 				new EngineFigures(1, 1, 1, 1, 1, 1, 1, LengthModel.BELIEVED), new StorePosition(0, 49)));
-		Assertions.assertThat(this.one.times().known()).contains(MANY);
+		Assertions.assertThat(this.one.times().known()).contains(KNOWN);
 	}
 
-	// Revisions go back with a store that comes back from a copy. What it has then would
-	// be left aside until its revisions have passed those of before.
+	// A restore from a snapshot decreases the revision. The entries of the restored store
+	// would be ignored until its revisions exceed the former ones.
 	@Test
-	void hearsWhatTheStoreHasAfterARestore() {
-		this.one.figures.onStats(new RegistryChange.EngineStatsUpdated("llm", MANY, new StorePosition(1, 50)));
-		this.one.figures.onStoreRestored();
+	void acceptsTheEntriesOfARestoredStore() {
+		this.one.sharedStats.onStats(new RegistryChange.EngineStatsUpdated("llm", KNOWN, new StorePosition(1, 50)));
+		this.one.sharedStats.onStoreRestored();
 		EngineFigures few = new EngineFigures(3, 2_000, 500, 3_800, 0.03, 0.03, 7, LengthModel.BELIEVED);
-		this.one.figures.onStats(new RegistryChange.EngineStatsUpdated("llm", few, new StorePosition(2, 20)));
+		this.one.sharedStats.onStats(new RegistryChange.EngineStatsUpdated("llm", few, new StorePosition(2, 20)));
 		Assertions.assertThat(this.one.times().known()).contains(few);
 	}
 
 	private final class Vm {
 
 		private final Gateway gateway = new Gateway(new GatewaySettings("vm", "hall-a", 0.2, 50, 10_000),
-				new GatewayPorts(new NopWorkers(), SharedEngineStatsTests.this.timer, SharedEngineStatsTests.this.timer::now,
-						SharedEngineStatsTests.this.timer::now, () -> 0.5, new DecisionLog(0),
-						new RelayMetrics(new MetricRegistry())));
+				new GatewayPorts(new NopWorkers(), SharedEngineStatsTests.this.timer,
+						SharedEngineStatsTests.this.timer::now, SharedEngineStatsTests.this.timer::now, () -> 0.5,
+						new DecisionLog(0), new RelayMetrics(new MetricRegistry())));
 
-		private final SharedEngineStats figures = new SharedEngineStats(SharedEngineStatsTests.this.registry, this.gateway,
-				SharedEngineStatsTests.this.timer, () -> 0.5);
+		private final SharedEngineStats sharedStats = new SharedEngineStats(SharedEngineStatsTests.this.registry,
+				this.gateway, SharedEngineStatsTests.this.timer, () -> 0.5);
 
 		private Vm() {
 			EngineSpec engine = new EngineSpec(48, 42_411, 327_680, 3_300_000, 500, 2_000, 12);
 			this.gateway.configure(
 					new RouteTable(1, List.of(), List.of(new UpstreamSpec("llm", 100, engine)), IngressLimits.DEFAULT));
-			this.figures.start();
+			this.sharedStats.start();
 		}
 
 		private EngineTimes times() {
--- a/src/test/java/io/shallotspur/registry/SimulatedStore.java
+++ b/src/test/java/io/shallotspur/registry/SimulatedStore.java
@@ -21,28 +21,28 @@
 import io.shallotspur.route.RouteTable;
 
 /**
- * A registry in virtual time, as one VM reaches it: it answers after some milliseconds,
- * is away, cut off, or comes back from a copy. Only listings and watches are served. Not
- * thread-safe.
+ * A registry in virtual time, as seen by one VM: it answers after some milliseconds, and
+ * can be unavailable, disconnected or restored from a snapshot. It serves only listings,
+ * watches, lease renewals and the record of a settled era. Not thread-safe.
  */
 final class SimulatedStore implements Registry {
 
-	private static final long ANSWER_MS = 4;
+	private static final long RESPONSE_MS = 4;
 
 	private static final long TIMEOUT_MS = 1_000;
 
 	private static final long WATCH_SLACK_MS = 700;
 
-	// What was sent into a cut comes through so long after its end: it is sent again at
-	// growing intervals, ms.
-	private static final long SENT_AGAIN_MS = 1_000;
+	// A request sent while disconnected arrives this long after the connection is back,
+	// ms, because it is retransmitted at increasing intervals.
+	private static final long RETRANSMIT_MS = 1_000;
 
-	// A silent path under a waiting watch is noticed by probes, ms.
-	private static final long PROBED_MS = 3_000;
+	// Probes detect a silent connection under a waiting watch after this time, ms.
+	private static final long PROBE_TIMEOUT_MS = 3_000;
 
 	private final ManualTimer timer;
 
-	private final Map<String, RegistryChange> items = new LinkedHashMap<>();
+	private final Map<String, RegistryChange> entries = new LinkedHashMap<>();
 
 	private final List<Event> events = new ArrayList<>();
 
@@ -50,15 +50,15 @@
 
 	private long era = 1;
 
-	private long toldEra = 1;
+	private long reportedEra = 1;
 
-	private boolean away;
+	private boolean unavailable;
 
-	private boolean cut;
+	private boolean disconnected;
 
-	private final List<Runnable> heldUp = new ArrayList<>();
+	private final List<Runnable> delayed = new ArrayList<>();
 
-	private LongConsumer onRestored = (e) -> {
+	private LongConsumer restoreListener = (e) -> {
 	};
 
 	private @Nullable Watch watch;
@@ -67,128 +67,129 @@
 		this.timer = timer;
 	}
 
-	void put(String key, RegistryChange item) {
-		this.items.put(key, item);
-		happened(item);
+	void put(String key, RegistryChange entry) {
+		this.entries.put(key, entry);
+		record(entry);
 	}
 
-	void remove(String key, RegistryChange gone) {
-		if (this.items.remove(key) != null) {
-			happened(gone);
+	void remove(String key, RegistryChange removal) {
+		if (this.entries.remove(key) != null) {
+			record(removal);
 		}
 	}
 
-	private void happened(RegistryChange c) {
+	private void record(RegistryChange c) {
 		this.events.add(new Event(++this.revision, c));
 		serveWatch();
 	}
 
-	void away(boolean yes) {
-		this.away = yes;
+	void setUnavailable(boolean yes) {
+		this.unavailable = yes;
 		Watch w = this.watch;
 		if (yes && w != null) {
 			this.watch = null;
-			w.sink().error(unavailable());
+			w.sink().error(unavailableError());
 		}
 	}
 
-	void cut(boolean yes) {
-		this.cut = yes;
+	void setDisconnected(boolean yes) {
+		this.disconnected = yes;
 		Watch w = this.watch;
 		if (yes && w != null) {
-			this.timer.after(PROBED_MS, () -> probed(w));
+			this.timer.after(PROBE_TIMEOUT_MS, () -> probeTimedOut(w));
 		}
 		if (!yes) {
-			List<Runnable> l = List.copyOf(this.heldUp);
-			this.heldUp.clear();
-			l.forEach((r) -> this.timer.after(SENT_AGAIN_MS, r));
+			List<Runnable> l = List.copyOf(this.delayed);
+			this.delayed.clear();
+			l.forEach((r) -> this.timer.after(RETRANSMIT_MS, r));
 			serveWatch();
 		}
 	}
 
-	private void probed(Watch w) {
-		if (this.cut && this.watch == w) {
+	private void probeTimedOut(Watch w) {
+		if (this.disconnected && this.watch == w) {
 			this.watch = null;
-			w.sink().error(unavailable());
+			w.sink().error(unavailableError());
 		}
 	}
 
-	Copy copy() {
-		return new Copy(Map.copyOf(this.items), this.events.size(), this.revision);
+	Snapshot snapshot() {
+		return new Snapshot(Map.copyOf(this.entries), this.events.size(), this.revision);
 	}
 
-	void restore(Copy c) {
-		this.items.clear();
-		this.items.putAll(c.items());
-		this.events.subList(c.events(), this.events.size()).clear();
-		this.revision = c.revision();
+	void restore(Snapshot s) {
+		this.entries.clear();
+		this.entries.putAll(s.entries());
+		this.events.subList(s.events(), this.events.size()).clear();
+		this.revision = s.revision();
 		this.era++;
-		away(true);
-		away(false);
+		setUnavailable(true);
+		setUnavailable(false);
 	}
 
 	@Override
 	public Mono<RegistryUpdate> list() {
-		return answered(TIMEOUT_MS, () -> new RegistryUpdate(point(), List.copyOf(this.items.values())));
+		return respond(TIMEOUT_MS, () -> new RegistryUpdate(position(), List.copyOf(this.entries.values())));
 	}
 
-	private StorePosition point() {
+	private StorePosition position() {
 		return new StorePosition(this.era, this.revision);
 	}
 
-	// What the answer shows is of the moment in which the store has been reached.
-	private <T> Mono<T> answered(long timeoutMs, Reading<T> reading) {
+	// The response shows the state at the time when the request reaches the store.
+	private <T> Mono<T> respond(long timeoutMs, Read<T> read) {
 		return Mono.create((sink) -> {
-			sent(sink, timeoutMs, () -> {
-				if (this.away) {
-					sink.error(unavailable());
+			send(sink, timeoutMs, () -> {
+				if (this.unavailable) {
+					sink.error(unavailableError());
 					return;
 				}
-				placed();
-				sink.success(reading.read());
+				reportEra();
+				sink.success(read.get());
 			});
 		});
 	}
 
-	private void sent(MonoSink<?> sink, long timeoutMs, Runnable arrives) {
-		AtomicBoolean over = new AtomicBoolean();
-		sink.onDispose(() -> over.set(true));
+	private void send(MonoSink<?> sink, long timeoutMs, Runnable onArrival) {
+		AtomicBoolean done = new AtomicBoolean();
+		sink.onDispose(() -> done.set(true));
 		this.timer.after(timeoutMs, () -> {
-			if (!over.get()) {
-				sink.error(unavailable());
+			if (!done.get()) {
+				sink.error(unavailableError());
 			}
 		});
 		Runnable r = () -> {
-			if (!over.get()) {
-				arrives.run();
+			if (!done.get()) {
+				onArrival.run();
 			}
 		};
-		if (this.cut) {
-			this.heldUp.add(r);
+		if (this.disconnected) {
+			this.delayed.add(r);
 		}
 		else {
-			this.timer.after(ANSWER_MS, r);
+			this.timer.after(RESPONSE_MS, r);
 		}
 	}
 
-	private void placed() {
-		if (this.era > this.toldEra) {
-			this.toldEra = this.era;
-			this.onRestored.accept(this.era);
+	private void reportEra() {
+		if (this.era > this.reportedEra) {
+			this.reportedEra = this.era;
+			this.restoreListener.accept(this.era);
 		}
 	}
 
 	@Override
 	public Mono<RegistryUpdate> watch(StorePosition after, long waitMs) {
-		return Mono.create((sink) -> sent(sink, waitMs + WATCH_SLACK_MS, () -> begin(new Watch(sink, after), waitMs)));
+		return Mono
+			.create((sink) -> send(sink, waitMs + WATCH_SLACK_MS, () -> startWatch(new Watch(sink, after), waitMs)));
 	}
 
-	private void begin(Watch w, long waitMs) {
-		if (this.away) {
-			w.sink().error(unavailable());
+	private void startWatch(Watch w, long waitMs) {
+		if (this.unavailable) {
+			w.sink().error(unavailableError());
 			return;
 		}
-		placed();
+		reportEra();
 		this.watch = w;
 		serveWatch();
 		if (this.watch == w) {
@@ -202,7 +203,7 @@
 
 	private void serveWatch() {
 		Watch w = this.watch;
-		if (w == null || this.cut || this.away) {
+		if (w == null || this.disconnected || this.unavailable) {
 			return;
 		}
 		if (w.after().era() != this.era || w.after().revision() > this.revision) {
@@ -221,12 +222,12 @@
 
 	private void serve(Watch w, List<RegistryChange> l) {
 		this.watch = null;
-		w.sink().success(new RegistryUpdate(point(), l));
+		w.sink().success(new RegistryUpdate(position(), l));
 	}
 
 	@Override
-	public void setRestoreListener(LongConsumer then) {
-		this.onRestored = then;
+	public void setRestoreListener(LongConsumer listener) {
+		this.restoreListener = listener;
 	}
 
 	@Override
@@ -241,7 +242,7 @@
 
 	@Override
 	public Mono<Boolean> renewLease(long lease) {
-		return answered(TIMEOUT_MS, () -> true);
+		return respond(TIMEOUT_MS, () -> true);
 	}
 
 	@Override
@@ -265,18 +266,18 @@
 	}
 
 	@Override
-	public Mono<Boolean> announceStageChange(String worker, WorkerStage stage, StorePosition fence, long lease) {
+	public Mono<Boolean> announceStageChange(String worker, WorkerStage stage, StorePosition electedAt, long lease) {
 		return Mono.never();
 	}
 
 	@Override
-	public Mono<Boolean> publishStats(String upstream, EngineFigures figures, StorePosition before) {
+	public Mono<Boolean> publishStats(String upstream, EngineFigures stats, StorePosition expected) {
 		return Mono.never();
 	}
 
 	@Override
-	public Mono<Boolean> publishSettled(long e) {
-		return Mono.fromRunnable(() -> put("eras/settled", new RegistryChange.EraSettled(e))).thenReturn(true);
+	public Mono<Boolean> publishSettled(long settledEra) {
+		return Mono.fromRunnable(() -> put("eras/settled", new RegistryChange.EraSettled(settledEra))).thenReturn(true);
 	}
 
 	@Override
@@ -284,18 +285,18 @@
 		return Mono.never();
 	}
 
-	private static StoreUnavailableException unavailable() {
-		return new StoreUnavailableException("away", "test");
+	private static StoreUnavailableException unavailableError() {
+		return new StoreUnavailableException("unavailable", "test");
 	}
 
 	/**
-	 * Reads the store.
+	 * A read of the store.
 	 *
-	 * @param <T> what is read
+	 * @param <T> the type of the result
 	 */
-	private interface Reading<T> {
+	private interface Read<T> {
 
-		T read();
+		T get();
 
 	}
 
@@ -308,9 +309,9 @@
 	}
 
 	/**
-	 * What the store comes back with. Immutable.
+	 * The state that a restore brings back. Immutable.
 	 */
-	record Copy(Map<String, RegistryChange> items, int events, long revision) {
+	record Snapshot(Map<String, RegistryChange> entries, int events, long revision) {
 
 	}
 
--- a/src/test/java/io/shallotspur/registry/VmRegistrationTests.java
+++ b/src/test/java/io/shallotspur/registry/VmRegistrationTests.java
@@ -19,17 +19,17 @@
 			new EntryVm("vms/me", "10.0.0.9:80", "region-1", "hall-a", 1, false), this.timer);
 
 	@Test
-	void renewsItsLease() {
+	void renewsTheLease() {
 		this.registration.start();
 		this.timer.advance(10_000);
 		Assertions.assertThat(this.registry.registrations).isEqualTo(1);
 		Assertions.assertThat(this.registry.renewals).isEqualTo(10);
 	}
 
-	// The process was paused for longer than its lease. Callers are no longer sent here
-	// until it registers again.
+	// The process was paused for longer than its lease. Until it registers again, callers
+	// are not directed to this VM.
 	@Test
-	void registersAgainWhenTheLeaseHasLapsed() {
+	void registersAgainWhenTheLeaseHasExpired() {
 		this.registration.start();
 		this.registry.leaseExists = false;
 		this.timer.advance(2_000);
@@ -37,7 +37,7 @@
 	}
 
 	@Test
-	void triesAgainWhileTheStoreIsAway() {
+	void retriesDuringAStoreOutage() {
 		this.registry.storeDown = true;
 		this.registration.start();
 		this.timer.advance(3_000);
@@ -46,19 +46,20 @@
 		Assertions.assertThat(this.registry.registrations).isEqualTo(1);
 	}
 
-	// A second start while renewals run must not double them: calls are billed.
+	// A second start must not double the renewals, because calls are billed.
 	@Test
-	void startingAgainDoesNotDoubleTheRenewals() {
+	void aSecondStartDoesNotDoubleTheRenewals() {
 		this.registration.start();
 		this.registration.start();
 		this.timer.advance(10_000);
 		Assertions.assertThat(this.registry.renewals).isEqualTo(10);
 	}
 
-	// The store comes back from a copy and gives the number of this VM's lease to another
-	// VM. Renewed or ended from here, that VM would vanish late or at once.
+	// The store is restored from a snapshot and assigns the number of this VM's lease to
+	// another VM. If this VM renewed or revoked it, the other VM's registration would
+	// expire late or be removed immediately.
 	@Test
-	void leavesALeaseAloneThatTheStoreHasLost() {
+	void doesNotRevokeALeaseThatARestoreHasLost() {
 		this.registration.start();
 		this.registry.restore();
 		this.registration.onStoreRestored(500);
@@ -68,7 +69,7 @@
 	}
 
 	@Test
-	void registersAnewWhenTheStoreWasRestored() {
+	void registersAgainAfterARestore() {
 		this.registration.start();
 		this.registration.onStoreRestored(500);
 		this.timer.advance(400);
@@ -79,7 +80,7 @@
 	}
 
 	@Test
-	void endsItsLeaseAndStaysAway() {
+	void revokesTheLeaseAndDoesNotRenewIt() {
 		this.registration.start();
 		this.registration.deregister().block();
 		this.timer.advance(10_000);
--- a/src/test/java/io/shallotspur/registry/WorkerDrainModelTests.java
+++ b/src/test/java/io/shallotspur/registry/WorkerDrainModelTests.java
@@ -22,73 +22,74 @@
 import io.shallotspur.route.RouteTable;
 
 /**
- * Goes through all orders, up to a length, in which a worker leaves or is removed, the
- * store is away for a moment or for long enough that entries lapse, a VM is cut off from
- * it, it comes back from an older copy, a configuration is published and time passes.
+ * Plays all sequences of a fixed length in which a worker starts draining or is removed,
+ * the store is unavailable briefly or for long enough that entries expire, a VM is
+ * disconnected from the store, the store is restored from an older snapshot, a
+ * configuration is published and time passes.
  * <p>
- * A worker leaves around an outage and a VM that hears of it late goes on sending it
- * requests. None may reach it later than the bound after its leaving, and a worker that
- * stays may not be given up by a VM that reaches the store whenever it is there.
+ * Guards against this failure: a worker leaves around an outage, and a VM that learns of
+ * it late goes on sending it requests. None may be sent after the drain deadline, and a
+ * VM that reaches the store whenever it is available must not drop a worker that stays.
  */
 class WorkerDrainModelTests {
 
 	private static final int LENGTH = 5;
 
-	private static final long LEAVES_MS = 2_000;
+	private static final long DRAIN_MS = 2_000;
 
-	// VMs are held to the bound once they and the store were left alone for so long, ms.
-	private static final long CALM_MS = 3_000;
+	// The deadline is checked only after this time without a disturbance, ms.
+	private static final long UNDISTURBED_MS = 3_000;
 
-	// A VM that stands by asks a store that is away so often; it cannot tell more closely
-	// when the store was back, ms.
+	// Retry interval of a standby VM while the store is unavailable, ms; it cannot tell
+	// more precisely when the store was back.
 	private static final long STANDBY_RETRY_MS = 2_000;
 
-	private static final long LOOK_MS = 100;
+	private static final long STEP_MS = 100;
 
-	private static final long TAIL_MS = 4_000;
+	private static final long FINAL_WAIT_MS = 4_000;
 
-	private int judged;
+	private int checked;
 
 	@Test
-	void aVmThatServesLeavesAWorkerAloneInTime() {
+	void aServingVmStopsUsingALeavingWorkerInTime() {
 		explore(new ArrayList<>(), false);
-		// Had no order a calm moment after the bound, the above would say nothing.
-		Assertions.assertThat(this.judged).isPositive();
+		// The sequences prove nothing unless the deadline was checked in some of them.
+		Assertions.assertThat(this.checked).isPositive();
 	}
 
 	@Test
-	void aVmThatStandsByLeavesAWorkerAloneInTime() {
+	void aStandbyVmStopsUsingALeavingWorkerInTime() {
 		explore(new ArrayList<>(), true);
-		Assertions.assertThat(this.judged).isPositive();
+		Assertions.assertThat(this.checked).isPositive();
 	}
 
-	private void explore(List<Step> steps, boolean standsBy) {
-		boolean left = steps.contains(Step.SAYS_IT_LEAVES) || steps.contains(Step.IS_REMOVED);
+	private void explore(List<Step> steps, boolean standby) {
+		boolean left = steps.contains(Step.WORKER_DRAINS) || steps.contains(Step.WORKER_REMOVED);
 		if (steps.size() == LENGTH) {
 			if (left) {
-				play(steps, standsBy);
+				play(steps, standby);
 			}
 			return;
 		}
 		for (Step s : Step.values()) {
-			boolean leaves = s == Step.SAYS_IT_LEAVES || s == Step.IS_REMOVED;
+			boolean leaves = s == Step.WORKER_DRAINS || s == Step.WORKER_REMOVED;
 			if (!(leaves && left)) {
 				steps.add(s);
-				explore(steps, standsBy);
+				explore(steps, standby);
 				steps.remove(steps.size() - 1);
 			}
 		}
 	}
 
-	private void play(List<Step> steps, boolean standsBy) {
-		World w = new World(standsBy);
-		steps.forEach(w::take);
-		w.pass(TAIL_MS);
-		Assertions.assertThat(w.faults).as("%s stands-by=%s", steps, standsBy).isEmpty();
-		this.judged += w.judged;
+	private void play(List<Step> steps, boolean standby) {
+		World w = new World(standby);
+		steps.forEach(w::perform);
+		w.pass(FINAL_WAIT_MS);
+		Assertions.assertThat(w.violations).as("%s standby=%s", steps, standby).isEmpty();
+		this.checked += w.checked;
 	}
 
-	/** What can happen next. */
+	/** A step of a sequence. */
 	private enum Step {
 
 		/** Less than a second passes. */
@@ -97,23 +98,23 @@
 		/** A configuration is published. */
 		PUBLISH,
 
-		/** A worker says that it leaves. */
-		SAYS_IT_LEAVES,
+		/** A worker starts draining. */
+		WORKER_DRAINS,
 
-		/** A worker leaves without a word: its entry is removed. */
-		IS_REMOVED,
+		/** A worker leaves without draining: its entry is removed. */
+		WORKER_REMOVED,
 
-		/** The store is away for a moment. */
-		STORE_BLINKS,
+		/** The store is unavailable briefly. */
+		BRIEF_OUTAGE,
 
-		/** The store is away until the entries of living workers have lapsed. */
-		STORE_AWAY,
+		/** The store is unavailable until the entries of living workers have expired. */
+		LONG_OUTAGE,
 
-		/** The VM is cut off from the store. */
-		CUT_OFF,
+		/** The VM is disconnected from the store. */
+		DISCONNECT,
 
-		/** The store comes back from a copy of a second ago. */
-		RESTORED
+		/** The store is restored from a snapshot that is a second old. */
+		RESTORE
 
 	}
 
@@ -126,15 +127,15 @@
 
 		private final SimulatedStore store = new SimulatedStore(this.timer);
 
-		private final List<String> faults = new ArrayList<>();
+		private final List<String> violations = new ArrayList<>();
 
 		private final Gateway gateway = new Gateway(new GatewaySettings("vm", "hall-a", 0.2, 50, 10_000),
 				new GatewayPorts(new NopWorkers(), this.timer, this.timer::now, this.timer::now, () -> 0.5,
 						new DecisionLog(0), new RelayMetrics(new MetricRegistry())));
 
-		private SimulatedStore.Copy copy;
+		private SimulatedStore.Snapshot snapshot;
 
-		private @Nullable RegistryChange leaver = worker("leaver", false);
+		private @Nullable RegistryChange leavingEntry = worker("leaving", false);
 
 		private long version = 1;
 
@@ -142,43 +143,43 @@
 
 		private long disturbedAt = Long.MIN_VALUE / 2;
 
-		private boolean leftInCalm;
+		private boolean leftUndisturbed;
 
-		private int judged;
+		private int checked;
 
-		private final long mayGiveUpMs;
+		private final long maxDroppedMs;
 
-		private long givenUpMs;
+		private long droppedMs;
 
-		// From then on the VM may not have heard that the worker that stays wrote again.
-		private boolean wasCutOff;
+		// Once disconnected, the VM may have missed that the staying worker wrote again.
+		private boolean wasDisconnected;
 
-		private final RegistryWatcher follower;
+		private final RegistryWatcher watcher;
 
-		private World(boolean standsBy) {
-			this.mayGiveUpMs = standsBy ? STANDBY_RETRY_MS : 0;
-			this.follower = new RegistryWatcher(this.store, this.gateway, this.timer, this.timer::now, () -> 0.5,
-					new ChangeDeadlines(LEAVES_MS, LEAVES_MS));
+		private World(boolean standby) {
+			this.maxDroppedMs = standby ? STANDBY_RETRY_MS : 0;
+			this.watcher = new RegistryWatcher(this.store, this.gateway, this.timer, this.timer::now, () -> 0.5,
+					new ChangeDeadlines(DRAIN_MS, DRAIN_MS));
 			for (String vm : List.of("vms/a", "vms/b", "vms/own")) {
-				double cores = (standsBy == vm.equals("vms/own")) ? 1 : 2;
+				double cores = (standby == vm.equals("vms/own")) ? 1 : 2;
 				this.store.put(vm,
 						new RegistryChange.VmUpdated(new EntryVm(vm, vm + ":80", "region-1", "hall-a", cores, false)));
 			}
-			this.gateway.vms().own(new EntryVm("vms/own", "vms/own:80", "region-1", "hall-a", standsBy ? 1 : 2, false));
-			this.store.put("servers/stayer", worker("stayer", false));
-			this.store.put("servers/leaver", worker("leaver", false));
+			this.gateway.vms().own(new EntryVm("vms/own", "vms/own:80", "region-1", "hall-a", standby ? 1 : 2, false));
+			this.store.put("servers/staying", worker("staying", false));
+			this.store.put("servers/leaving", worker("leaving", false));
 			this.store.put("eras/settled", new RegistryChange.EraSettled(1));
 			publish();
-			this.copy = this.store.copy();
-			this.follower.start();
+			this.snapshot = this.store.snapshot();
+			this.watcher.start();
 			renew();
-			pass(CALM_MS);
+			pass(UNDISTURBED_MS);
 		}
 
 		private void renew() {
 			this.timer.after(1_000, () -> {
-				this.store.renewLease(1).subscribe((there) -> {
-				}, (ex) -> this.follower.onCallUnanswered());
+				this.store.renewLease(1).subscribe((exists) -> {
+				}, (ex) -> this.watcher.onCallUnanswered());
 				renew();
 			});
 		}
@@ -188,16 +189,16 @@
 					new WorkerInfo(id, "up", "10.0.0.1", 80, "hall-a", 6, WorkerStage.PLAIN, leaving, 0, 0));
 		}
 
-		private void take(Step s) {
+		private void perform(Step s) {
 			switch (s) {
 				case WAIT -> pass(700);
 				case PUBLISH -> publish();
-				case SAYS_IT_LEAVES -> leaves(worker("leaver", true));
-				case IS_REMOVED -> leaves(null);
-				case STORE_BLINKS -> storeAway(300);
-				case STORE_AWAY -> lapse();
-				case CUT_OFF -> cutOff();
-				case RESTORED -> restore();
+				case WORKER_DRAINS -> leave(worker("leaving", true));
+				case WORKER_REMOVED -> leave(null);
+				case BRIEF_OUTAGE -> briefOutage(300);
+				case LONG_OUTAGE -> longOutage();
+				case DISCONNECT -> disconnect();
+				case RESTORE -> restore();
 			}
 		}
 
@@ -206,91 +207,91 @@
 					new RouteTable(++this.version, List.of(), List.of(), IngressLimits.DEFAULT)));
 		}
 
-		private void leaves(@Nullable RegistryChange entry) {
-			this.leaver = entry;
+		private void leave(@Nullable RegistryChange entry) {
+			this.leavingEntry = entry;
 			this.leftAt = this.timer.now();
-			this.leftInCalm = calm();
-			writeLeaver();
+			this.leftUndisturbed = undisturbed();
+			writeLeavingEntry();
 		}
 
-		private void writeLeaver() {
-			if (this.leaver != null) {
-				this.store.put("servers/leaver", this.leaver);
+		private void writeLeavingEntry() {
+			if (this.leavingEntry != null) {
+				this.store.put("servers/leaving", this.leavingEntry);
 			}
 			else {
-				this.store.remove("servers/leaver", new RegistryChange.WorkerRemoved("leaver"));
+				this.store.remove("servers/leaving", new RegistryChange.WorkerRemoved("leaving"));
 			}
 		}
 
-		private void storeAway(long ms) {
-			this.store.away(true);
-			disturbed(ms);
-			this.store.away(false);
+		private void briefOutage(long ms) {
+			this.store.setUnavailable(true);
+			passDisturbed(ms);
+			this.store.setUnavailable(false);
 		}
 
-		private void lapse() {
-			this.store.away(true);
-			disturbed(3_500);
-			this.store.remove("servers/stayer", new RegistryChange.WorkerRemoved("stayer"));
-			this.store.remove("servers/leaver", new RegistryChange.WorkerRemoved("leaver"));
-			disturbed(500);
-			this.store.away(false);
-			this.timer.after(900, this::writeAgain);
+		private void longOutage() {
+			this.store.setUnavailable(true);
+			passDisturbed(3_500);
+			this.store.remove("servers/staying", new RegistryChange.WorkerRemoved("staying"));
+			this.store.remove("servers/leaving", new RegistryChange.WorkerRemoved("leaving"));
+			passDisturbed(500);
+			this.store.setUnavailable(false);
+			this.timer.after(900, this::rewriteEntries);
 		}
 
-		private void writeAgain() {
-			this.store.put("servers/stayer", worker("stayer", false));
-			writeLeaver();
+		private void rewriteEntries() {
+			this.store.put("servers/staying", worker("staying", false));
+			writeLeavingEntry();
 		}
 
-		private void cutOff() {
-			this.wasCutOff = true;
-			this.store.cut(true);
-			disturbed(1_500);
-			this.store.cut(false);
+		private void disconnect() {
+			this.wasDisconnected = true;
+			this.store.setDisconnected(true);
+			passDisturbed(1_500);
+			this.store.setDisconnected(false);
 		}
 
 		private void restore() {
-			SimulatedStore.Copy c = this.copy;
-			this.store.away(true);
-			disturbed(200);
-			this.store.restore(c);
-			this.timer.after(1_500, this::writeAgain);
+			SimulatedStore.Snapshot s = this.snapshot;
+			this.store.setUnavailable(true);
+			passDisturbed(200);
+			this.store.restore(s);
+			this.timer.after(1_500, this::rewriteEntries);
 		}
 
-		private void disturbed(long ms) {
+		private void passDisturbed(long ms) {
 			for (long end = this.timer.now() + ms; this.timer.now() < end;) {
-				this.disturbedAt = this.timer.now() + LOOK_MS;
-				pass(LOOK_MS);
+				this.disturbedAt = this.timer.now() + STEP_MS;
+				pass(STEP_MS);
 			}
 		}
 
-		private boolean calm() {
-			return this.timer.now() - this.disturbedAt >= CALM_MS;
+		private boolean undisturbed() {
+			return this.timer.now() - this.disturbedAt >= UNDISTURBED_MS;
 		}
 
-		// The copy of the store is about a second old when it is needed.
+		// The snapshot is about a second old when the store is restored.
 		private void pass(long ms) {
 			for (long end = this.timer.now() + ms; this.timer.now() < end;) {
-				this.timer.advance(Math.min(LOOK_MS, end - this.timer.now()));
-				look();
+				this.timer.advance(Math.min(STEP_MS, end - this.timer.now()));
+				check();
 			}
-			if (ms >= 700 && calm()) {
-				this.copy = this.store.copy();
+			if (ms >= 700 && undisturbed()) {
+				this.snapshot = this.store.snapshot();
 			}
 		}
 
-		private void look() {
+		private void check() {
 			long now = this.timer.now();
 			List<String> used = this.gateway.roster().staying("up", now).stream().map(WorkerInfo::id).toList();
-			this.givenUpMs = used.contains("stayer") ? 0 : this.givenUpMs + LOOK_MS;
-			if (!this.wasCutOff && this.gateway.table().isPresent() && this.givenUpMs > this.mayGiveUpMs) {
-				this.faults.add("gave up the worker that stays at " + now);
+			this.droppedMs = used.contains("staying") ? 0 : this.droppedMs + STEP_MS;
+			if (!this.wasDisconnected && this.gateway.table().isPresent() && this.droppedMs > this.maxDroppedMs) {
+				this.violations.add("dropped the staying worker at " + now);
 			}
-			if (this.leftInCalm && calm() && now > this.leftAt + LEAVES_MS) {
-				this.judged++;
-				if (used.contains("leaver")) {
-					this.faults.add("uses the worker " + (now - this.leftAt) + " ms after it left");
+			if (this.leftUndisturbed && undisturbed() && now > this.leftAt + DRAIN_MS) {
+				this.checked++;
+				if (used.contains("leaving")) {
+					this.violations.add("uses the leaving worker " + (now - this.leftAt) + " ms after it left");
 				}
 			}
 		}
