--- a/src/main/java/io/shallotspur/registry/ChangeApplier.java
+++ b/src/main/java/io/shallotspur/registry/ChangeApplier.java
@@ -110,7 +110,7 @@
 	void applyListing(RegistryUpdate update, boolean relisted, GracePeriods graces, long now) {
 		Set<String> workers = new HashSet<>();
 		Set<String> vms = new HashSet<>();
-		Set<String> marked = new HashSet<>();
+		Set<String> announced = new HashSet<>();
 		RegistryChange.LeaderElected leader = null;
 		applyChanges(update, graces, now);
 		for (RegistryChange c : update.changes()) {
@@ -120,15 +120,15 @@
 			else if (c instanceof RegistryChange.VmUpdated v) {
 				vms.add(v.vm().key());
 			}
-			else if (c instanceof RegistryChange.StageChangeAnnounced m) {
-				marked.add(m.worker());
+			else if (c instanceof RegistryChange.StageChangeAnnounced a) {
+				announced.add(a.worker());
 			}
 			else if (c instanceof RegistryChange.LeaderElected l) {
 				leader = l;
 			}
 		}
 		updateLeader(leader, now);
-		this.gateway.roster().retainMarks(marked);
+		this.gateway.roster().retainMarks(announced);
 		boolean ownRemoved = !vms.contains(this.ownKey);
 		vms.add(this.ownKey);
 		recordMissingWorkers(workers, graces, now);
@@ -140,8 +140,8 @@
 		}
 	}
 
-	// After a restore, a worker may be missing because it registered after the snapshot
-	// was taken. Otherwise, a missing worker has departed.
+	// For some time after a restore, a worker may be missing only because it registered
+	// after the snapshot was taken. Otherwise, a missing worker has departed.
 	private void recordMissingWorkers(Set<String> listed, GracePeriods graces, long now) {
 		if (now >= this.unsettledUntil) {
 			this.gateway.roster()
--- a/src/main/java/io/shallotspur/registry/ConfigReader.java
+++ b/src/main/java/io/shallotspur/registry/ConfigReader.java
@@ -53,13 +53,13 @@
 	}
 
 	@Override
-	public void ask(Runnable then) {
+	public void ask(Runnable callback) {
 		long now = this.gateway.elapsedMs();
 		if (!this.inFlight && now - this.failedAt < RETRY_MS) {
-			then.run();
+			callback.run();
 			return;
 		}
-		this.pending.add(then);
+		this.pending.add(callback);
 		if (!this.inFlight) {
 			this.inFlight = true;
 			this.registry.readConfiguration().subscribe((t) -> onConfiguration(t, now), this::onFailure);
--- a/src/main/java/io/shallotspur/registry/SharedEngineStats.java
+++ b/src/main/java/io/shallotspur/registry/SharedEngineStats.java
@@ -34,8 +34,8 @@
 
 	private static final long TICK_MS = 400;
 
-	// A mean of this many requests is accurate to a few percent. Capping the number lets
-	// newer samples replace older ones.
+	// A mean of this many requests is accurate to a few percent. The cap also lets newer
+	// samples outweigh older ones.
 	private static final int MAX_SAMPLES = 64;
 
 	private static final int MIN_NEW_SAMPLES = 2;
