--- a/src/main/java/io/shallotspur/registry/ChangeApplier.java
+++ b/src/main/java/io/shallotspur/registry/ChangeApplier.java
@@ -133,7 +133,7 @@
 		vms.add(this.ownKey);
 		recordMissingWorkers(workers, graces, now);
 		this.gateway.roster().retain(workers, graces.workerEndsAt());
-		this.gateway.vms().retain(vms, graces.vmEndsAt());
+		this.gateway.entryVms().retain(vms, graces.vmEndsAt());
 		Logger.info("[registry] listed point={} workers={} vms={}", update.position(), workers.size(), vms.size());
 		if (relisted && ownRemoved) {
 			this.onOwnRemoved.run();
@@ -181,7 +181,7 @@
 					graces.workerRemainingMs(now), graces.updateAgeMs(), graces.sinceFailureMs(), position);
 		}
 		else if (c instanceof RegistryChange.VmUpdated e) {
-			this.gateway.vms().seen(e.vm());
+			this.gateway.entryVms().register(e.vm());
 		}
 		else if (c instanceof RegistryChange.VmRemoved e) {
 			removeVm(e, position, graces, now);
@@ -247,7 +247,7 @@
 			this.onOwnRemoved.run();
 		}
 		else {
-			this.gateway.vms().vanished(e.key(), graces.vmEndsAt());
+			this.gateway.entryVms().deregister(e.key(), graces.vmEndsAt());
 		}
 	}
 
--- a/src/main/java/io/shallotspur/registry/ConfigReader.java
+++ b/src/main/java/io/shallotspur/registry/ConfigReader.java
@@ -79,7 +79,7 @@
 	}
 
 	private long currentVersion() {
-		return this.gateway.table().map(RouteTable::version).orElse(0L);
+		return this.gateway.routeTable().map(RouteTable::version).orElse(0L);
 	}
 
 	private void onConfiguration(RouteTable t, long sentAt) {
@@ -89,7 +89,7 @@
 		boolean newest = t.version() >= currentVersion();
 		this.gateway.configure(t);
 		if (newest && (sentAt >= this.staleUntil || t.version() > this.versionBeforeRestore)) {
-			this.gateway.proved(sentAt);
+			this.gateway.configConfirmed(sentAt);
 		}
 		complete();
 	}
--- a/src/main/java/io/shallotspur/registry/Leadership.java
+++ b/src/main/java/io/shallotspur/registry/Leadership.java
@@ -7,7 +7,7 @@
 import org.tinylog.Logger;
 import reactor.core.publisher.Mono;
 
-import io.shallotspur.gateway.EntryVms;
+import io.shallotspur.gateway.EntryVmDirectory;
 import io.shallotspur.gateway.WorkerStage;
 
 /**
@@ -43,7 +43,7 @@
 
 	private final VmRegistration registration;
 
-	private final EntryVms vms;
+	private final EntryVmDirectory vms;
 
 	private final String self;
 
@@ -67,7 +67,7 @@
 	 * @param handoverMs minimum time between the orders of two leaders, in milliseconds
 	 * @param clock supplies the current time in milliseconds
 	 */
-	public Leadership(Registry registry, VmRegistration registration, EntryVms vms, String self, long handoverMs,
+	public Leadership(Registry registry, VmRegistration registration, EntryVmDirectory vms, String self, long handoverMs,
 			LongSupplier clock) {
 		this.registry = registry;
 		this.registration = registration;
--- a/src/main/java/io/shallotspur/registry/RegistryWatcher.java
+++ b/src/main/java/io/shallotspur/registry/RegistryWatcher.java
@@ -254,7 +254,7 @@
 		Logger.warn("[registry] store restored era={} known={}", era, this.position);
 		this.outages.recordRestore(this.storeUnavailable, now);
 		this.gateway.roster().waitForVanished(now, this.outages.lapseGraceEndsAt());
-		double spread = SPREAD_MS_PER_VM * this.gateway.vms().count(now);
+		double spread = SPREAD_MS_PER_VM * this.gateway.entryVms().count(now);
 		this.applier.onStoreRestored(now);
 		this.restoreListeners.forEach((r) -> r.accept((long) (spread * this.random.getAsDouble())));
 		relist((long) (spread * this.random.getAsDouble()));
@@ -266,7 +266,7 @@
 		this.staleDataListener.accept(UNSETTLED_MS);
 		this.settlesAt = now + UNSETTLED_MS;
 		this.applier.setUnsettledUntil(this.settlesAt);
-		this.timer.after(UNSETTLED_MS, () -> {
+		this.timer.schedule(UNSETTLED_MS, () -> {
 			if (n == this.restores) {
 				relist(0);
 			}
@@ -283,7 +283,7 @@
 	// At most one call is scheduled; a second chain of calls would double their number.
 	private void scheduleNext(long delayMs) {
 		this.cancelNext.run();
-		this.cancelNext = this.timer.after(delayMs, this::resume);
+		this.cancelNext = this.timer.schedule(delayMs, this::resume);
 	}
 
 	private void run(Mono<RegistryUpdate> request, Consumer<RegistryUpdate> handler) {
@@ -342,8 +342,8 @@
 
 	private long batchMs(long now) {
 		long serving = Math.max(MIN_BATCH_MS,
-				Math.min(ChangeDeadlines.MAX_BATCH_MS, BATCH_MS_PER_VM * this.gateway.vms().count(now)));
-		boolean standby = this.gateway.vms().standsBy(now) && !this.applier.isLeader();
+				Math.min(ChangeDeadlines.MAX_BATCH_MS, BATCH_MS_PER_VM * this.gateway.entryVms().count(now)));
+		boolean standby = this.gateway.entryVms().isStandby(now) && !this.applier.isLeader();
 		return standby ? Math.max(serving, this.standbyBatchMs) : serving;
 	}
 
@@ -384,7 +384,7 @@
 		this.outages.recordFailure(callSentAt, now);
 		this.gateway.roster().waitForVanished(now, this.outages.lapseGraceEndsAt());
 		long delay = (long) (this.retryMs * (0.5 + 0.5 * this.random.getAsDouble()));
-		long max = this.gateway.vms().standsBy(now) ? MAX_STANDBY_RETRY_MS : MAX_RETRY_MS;
+		long max = this.gateway.entryVms().isStandby(now) ? MAX_STANDBY_RETRY_MS : MAX_RETRY_MS;
 		this.retryMs = Math.min(max, this.retryMs * 2);
 		scheduleNext(delay);
 	}
--- a/src/main/java/io/shallotspur/registry/SharedEngineStats.java
+++ b/src/main/java/io/shallotspur/registry/SharedEngineStats.java
@@ -99,7 +99,7 @@
 		RegistryChange.EngineStatsUpdated old = this.known.get(update.upstream());
 		if (old == null || update.position().compareTo(old.position()) > 0) {
 			this.known.put(update.upstream(), update);
-			this.gateway.times(update.upstream()).heard(update.stats());
+			this.gateway.engineTimes(update.upstream()).heard(update.stats());
 		}
 	}
 
@@ -111,14 +111,14 @@
 	// The random part keeps VMs from publishing at the same moment, where only one of
 	// their writes would succeed.
 	private void scheduleTick() {
-		this.timer.after((long) (TICK_MS * (0.5 + this.random.getAsDouble())), this::tick);
+		this.timer.schedule((long) (TICK_MS * (0.5 + this.random.getAsDouble())), this::tick);
 	}
 
 	private void tick() {
 		if (this.stopped) {
 			return;
 		}
-		this.gateway.table()
+		this.gateway.routeTable()
 			.ifPresent((t) -> t.upstreams()
 				.stream()
 				.filter((u) -> u.engine() != null)
@@ -130,7 +130,7 @@
 	private void publishIfDue(String upstream) {
 		RegistryChange.EngineStatsUpdated entry = this.known.get(upstream);
 		EngineFigures all = (entry != null) ? entry.stats() : null;
-		EngineTimes times = this.gateway.times(upstream);
+		EngineTimes times = this.gateway.engineTimes(upstream);
 		Optional<EngineFigures> part = times.unshared().filter((p) -> shouldPublish(all, p));
 		if (part.isPresent() && this.blocked.add(upstream)) {
 			publish(upstream, times, entry, part.get());
@@ -158,7 +158,7 @@
 	}
 
 	private void unblockLater(String upstream) {
-		this.timer.after(RETRY_MS, () -> this.blocked.remove(upstream));
+		this.timer.schedule(RETRY_MS, () -> this.blocked.remove(upstream));
 	}
 
 	static boolean shouldPublish(@Nullable EngineFigures all, EngineFigures part) {
--- a/src/main/java/io/shallotspur/registry/VmLoadSampler.java
+++ b/src/main/java/io/shallotspur/registry/VmLoadSampler.java
@@ -7,7 +7,7 @@
 import org.tinylog.Logger;
 
 import io.shallotspur.gateway.GatewayTimer;
-import io.shallotspur.gateway.VmLoad;
+import io.shallotspur.gateway.OverloadDetector;
 
 /**
  * Samples the scheduling delay of the gateway's thread and reports when the VM becomes
@@ -27,7 +27,7 @@
 
 	private final Consumer<Boolean> onChange;
 
-	private final VmLoad load = new VmLoad();
+	private final OverloadDetector load = new OverloadDetector();
 
 	private boolean stopped;
 
@@ -50,8 +50,8 @@
 	 * Starts sampling.
 	 */
 	public void start() {
-		long dueAt = this.clock.getAsLong() + VmLoad.SAMPLE_MS;
-		this.timer.after(VmLoad.SAMPLE_MS, () -> sample(dueAt));
+		long dueAt = this.clock.getAsLong() + OverloadDetector.SAMPLE_INTERVAL_MS;
+		this.timer.schedule(OverloadDetector.SAMPLE_INTERVAL_MS, () -> sample(dueAt));
 	}
 
 	/**
@@ -66,11 +66,11 @@
 			return;
 		}
 		long now = this.clock.getAsLong();
-		boolean before = this.load.crowded();
-		this.load.late((this.requestsInProgress.getAsInt() > 0) ? now - dueAt : 0, now);
-		if (this.load.crowded() != before) {
-			Logger.info("[vm] crowded={} in-progress={}", this.load.crowded(), this.requestsInProgress.getAsInt());
-			this.onChange.accept(this.load.crowded());
+		boolean before = this.load.overloaded();
+		this.load.recordDelay((this.requestsInProgress.getAsInt() > 0) ? now - dueAt : 0, now);
+		if (this.load.overloaded() != before) {
+			Logger.info("[vm] crowded={} in-progress={}", this.load.overloaded(), this.requestsInProgress.getAsInt());
+			this.onChange.accept(this.load.overloaded());
 		}
 		start();
 	}
--- a/src/main/java/io/shallotspur/registry/VmRegistration.java
+++ b/src/main/java/io/shallotspur/registry/VmRegistration.java
@@ -102,7 +102,7 @@
 	 * @param crowded whether it is
 	 */
 	public void setCrowded(boolean crowded) {
-		this.vm = this.vm.withCrowded(crowded);
+		this.vm = this.vm.withOverloaded(crowded);
 		long l = activeLease();
 		if (l == 0) {
 			return;
@@ -173,7 +173,7 @@
 
 	private void schedule(long ms, Runnable task) {
 		this.cancelTimer.run();
-		this.cancelTimer = this.timer.after(ms, task);
+		this.cancelTimer = this.timer.schedule(ms, task);
 	}
 
 	/**
--- a/src/test/java/io/shallotspur/registry/ConfigReaderTests.java
+++ b/src/test/java/io/shallotspur/registry/ConfigReaderTests.java
@@ -54,7 +54,7 @@
 
 	@Test
 	void appliesTheConfigurationBeforeItCompletes() {
-		this.reader.ask(() -> Assertions.assertThat(this.gateway.table().orElseThrow().version()).isEqualTo(4));
+		this.reader.ask(() -> Assertions.assertThat(this.gateway.routeTable().orElseThrow().version()).isEqualTo(4));
 		read();
 		respond(4);
 		Assertions.assertThat(this.completed).hasValue(1);
@@ -93,14 +93,14 @@
 		read();
 		this.gateway.configure(new RouteTable(5, List.of(), List.of(), IngressLimits.DEFAULT));
 		respond(4);
-		Assertions.assertThat(this.gateway.table().orElseThrow().version()).isEqualTo(5);
+		Assertions.assertThat(this.gateway.routeTable().orElseThrow().version()).isEqualTo(5);
 	}
 
 	private boolean proves(long version) {
 		read();
 		this.timer.advance(10);
 		respond(version);
-		return this.gateway.proofAgeMs() <= 10;
+		return this.gateway.configAgeMs() <= 10;
 	}
 
 	// The response comes from a snapshot that is older than the configuration this VM
--- a/src/test/java/io/shallotspur/registry/RegistryWatcherTests.java
+++ b/src/test/java/io/shallotspur/registry/RegistryWatcherTests.java
@@ -70,7 +70,7 @@
 	@Test
 	void listsAndThenWatchesFromThePositionOfTheListing() {
 		start(config(3), worker("w1"));
-		Assertions.assertThat(this.gateway.table().orElseThrow().version()).isEqualTo(3);
+		Assertions.assertThat(this.gateway.routeTable().orElseThrow().version()).isEqualTo(3);
 		Assertions.assertThat(workers()).isEqualTo(1);
 		Assertions.assertThat(this.registry.watchedAfter).containsExactly(10L);
 		Assertions.assertThat(this.watcher.initialized()).isTrue();
@@ -107,7 +107,7 @@
 	// serving VMs, nine in ten of the calls would serve no request.
 	@Test
 	void batchesForLongerOnStandby() {
-		this.gateway.vms().own(vm("vms/standby", 1).vm());
+		this.gateway.entryVms().registerSelf(vm("vms/standby", 1).vm());
 		start(vm("vms/serving-1", 2), vm("vms/serving-2", 2), vm("vms/standby", 1));
 		deliver(11, worker("w1"));
 		this.timer.advance(950);
@@ -120,7 +120,7 @@
 	// no request depends on its result.
 	@Test
 	void retriesLessOftenOnStandby() {
-		this.gateway.vms().own(vm("vms/standby", 1).vm());
+		this.gateway.entryVms().registerSelf(vm("vms/standby", 1).vm());
 		start(vm("vms/serving-1", 2), vm("vms/serving-2", 2), vm("vms/standby", 1));
 		for (int i = 0; i < 200; i++) {
 			failWatch();
@@ -157,7 +157,7 @@
 	// learns of it would send it requests long after the drain deadline.
 	@Test
 	void aWorkerThatLeavesAfterAnOutageIsNotUsedBeyondTheDeadline() {
-		this.gateway.vms().own(vm("vms/standby", 1).vm());
+		this.gateway.entryVms().registerSelf(vm("vms/standby", 1).vm());
 		start(config(3), vm("vms/serving-1", 2), vm("vms/serving-2", 2), vm("vms/standby", 1), worker("w1"));
 		failWatch();
 		this.timer.advance(400);
@@ -191,7 +191,7 @@
 		start(config(3), worker("w1"), worker("w2"));
 		this.registry.listings.add(new RegistryUpdate(new StorePosition(0, 30), List.of(config(4), worker("w2"))));
 		this.registry.pendingWatch.tryEmitError(new StoreHistoryGoneException("gone", "10"));
-		Assertions.assertThat(this.gateway.table().orElseThrow().version()).isEqualTo(4);
+		Assertions.assertThat(this.gateway.routeTable().orElseThrow().version()).isEqualTo(4);
 		Assertions.assertThat(workers()).isEqualTo(1);
 		Assertions.assertThat(this.registry.watchedAfter).endsWith(30L);
 	}
@@ -209,7 +209,7 @@
 		Assertions.assertThat(this.registry.watchedAfter).hasSize(2);
 		Assertions.assertThat(this.registry.lastWaitMs).isZero();
 		deliver(12, config(4));
-		Assertions.assertThat(this.gateway.table().orElseThrow().version()).isEqualTo(4);
+		Assertions.assertThat(this.gateway.routeTable().orElseThrow().version()).isEqualTo(4);
 	}
 
 	// Several lease renewals fail while no watch is pending. Each would start a separate
@@ -233,7 +233,7 @@
 			this.timer.advance(500);
 			failWatch();
 		}
-		Assertions.assertThat(this.gateway.table()).isPresent();
+		Assertions.assertThat(this.gateway.routeTable()).isPresent();
 		Assertions.assertThat(workers()).isEqualTo(1);
 		Assertions.assertThat(this.registry.watchedAfter).hasSizeBetween(8, 21);
 	}
@@ -248,7 +248,7 @@
 				new RegistryChange.VmUpdated(new EntryVm("vms/me", "10.0.0.9:80", "region-1", "hall-a", 1, false)));
 		deliver(11, new RegistryChange.VmRemoved("vms/me"));
 		Assertions.assertThat(removals).hasValue(1);
-		Assertions.assertThat(this.gateway.vms().count(this.timer.now())).isEqualTo(1);
+		Assertions.assertThat(this.gateway.entryVms().count(this.timer.now())).isEqualTo(1);
 	}
 
 	// The store becomes silent and recovers. A watch with a long wait was lost: a route
@@ -282,7 +282,7 @@
 		start(config(3), new RegistryChange.EntryUnreadable("servers/w0", "w0", "The value is not JSON."), worker("w1"),
 				new RegistryChange.EntryUnreadable("op/config", null, "The value is not JSON."));
 		Assertions.assertThat(workers()).isEqualTo(1);
-		Assertions.assertThat(this.gateway.table()).isPresent();
+		Assertions.assertThat(this.gateway.routeTable()).isPresent();
 	}
 
 	// A connection to the store is reset and reopened immediately. Four seconds later
@@ -300,7 +300,7 @@
 		this.timer.advance(4_000);
 		deliver(21, new RegistryChange.VmRemoved("vms/other"));
 		this.timer.advance(1_000);
-		Assertions.assertThat(this.gateway.vms().count(this.timer.now())).isZero();
+		Assertions.assertThat(this.gateway.entryVms().count(this.timer.now())).isZero();
 	}
 
 	private static RegistryChange leaving(String id) {
@@ -327,9 +327,9 @@
 		this.timer.advance(200);
 		restore(40, config(3), worker("w1"));
 		Assertions.assertThat(this.registry.watchedAfter).endsWith(40L);
-		Assertions.assertThat(this.gateway.table().orElseThrow().version()).isEqualTo(4);
+		Assertions.assertThat(this.gateway.routeTable().orElseThrow().version()).isEqualTo(4);
 		deliver(41, config(5));
-		Assertions.assertThat(this.gateway.table().orElseThrow().version()).isEqualTo(5);
+		Assertions.assertThat(this.gateway.routeTable().orElseThrow().version()).isEqualTo(5);
 	}
 
 	// The snapshot shows a worker as it was before it started draining. Requests would
@@ -456,9 +456,9 @@
 		this.registry.listings.add(new RegistryUpdate(new StorePosition(1, 9), List.of(config(4))));
 		this.registry.restore();
 		this.timer.advance(350);
-		Assertions.assertThat(this.gateway.table()).isEmpty();
+		Assertions.assertThat(this.gateway.routeTable()).isEmpty();
 		this.timer.advance(100);
-		Assertions.assertThat(this.gateway.table()).isPresent();
+		Assertions.assertThat(this.gateway.routeTable()).isPresent();
 		Assertions.assertThat(delays).containsExactly(400L);
 	}
 
--- a/src/test/java/io/shallotspur/registry/RevocationModelTests.java
+++ b/src/test/java/io/shallotspur/registry/RevocationModelTests.java
@@ -13,7 +13,7 @@
 import reactor.core.publisher.Sinks;
 
 import io.shallotspur.contract.BearerKey;
-import io.shallotspur.gateway.CallerAnswer;
+import io.shallotspur.gateway.CallerResponse;
 import io.shallotspur.gateway.DecisionLog;
 import io.shallotspur.gateway.Exchange;
 import io.shallotspur.gateway.ExchangeListener;
@@ -172,7 +172,7 @@
 					new GatewayPorts(this, this.timer, this.timer::now, this::wallClock, () -> 0.5, new DecisionLog(0),
 							new RelayMetrics(new MetricRegistry())));
 			ConfigReader reader = new ConfigReader(this.registry, this.gateway);
-			this.gateway.configSource(reader);
+			this.gateway.setConfigSource(reader);
 			this.registry.setRestoreListener((e) -> reader.onStoreRestored(STALE_MS));
 			this.gateway.configure(table());
 			this.gateway.roster()
@@ -275,10 +275,10 @@
 	/**
 	 * A caller that ignores its response.
 	 */
-	private static final class NopAnswer implements CallerAnswer {
+	private static final class NopAnswer implements CallerResponse {
 
 		@Override
-		public void whole(int status, List<HeaderField> headers, byte[] body) {
+		public void send(int status, List<HeaderField> headers, byte[] body) {
 		}
 
 		@Override
@@ -286,7 +286,7 @@
 		}
 
 		@Override
-		public void begin(int status, List<HeaderField> headers) {
+		public void start(int status, List<HeaderField> headers) {
 		}
 
 		@Override
@@ -294,11 +294,11 @@
 		}
 
 		@Override
-		public void end() {
+		public void complete() {
 		}
 
 		@Override
-		public void breakOff() {
+		public void abort() {
 		}
 
 	}
--- a/src/test/java/io/shallotspur/registry/SimulatedStore.java
+++ b/src/test/java/io/shallotspur/registry/SimulatedStore.java
@@ -96,12 +96,12 @@
 		this.disconnected = yes;
 		Watch w = this.watch;
 		if (yes && w != null) {
-			this.timer.after(PROBE_TIMEOUT_MS, () -> probeTimedOut(w));
+			this.timer.schedule(PROBE_TIMEOUT_MS, () -> probeTimedOut(w));
 		}
 		if (!yes) {
 			List<Runnable> l = List.copyOf(this.delayed);
 			this.delayed.clear();
-			l.forEach((r) -> this.timer.after(RETRANSMIT_MS, r));
+			l.forEach((r) -> this.timer.schedule(RETRANSMIT_MS, r));
 			serveWatch();
 		}
 	}
@@ -153,7 +153,7 @@
 	private void send(MonoSink<?> sink, long timeoutMs, Runnable onArrival) {
 		AtomicBoolean done = new AtomicBoolean();
 		sink.onDispose(() -> done.set(true));
-		this.timer.after(timeoutMs, () -> {
+		this.timer.schedule(timeoutMs, () -> {
 			if (!done.get()) {
 				sink.error(unavailableError());
 			}
@@ -167,7 +167,7 @@
 			this.delayed.add(r);
 		}
 		else {
-			this.timer.after(RESPONSE_MS, r);
+			this.timer.schedule(RESPONSE_MS, r);
 		}
 	}
 
@@ -193,7 +193,7 @@
 		this.watch = w;
 		serveWatch();
 		if (this.watch == w) {
-			this.timer.after(waitMs, () -> {
+			this.timer.schedule(waitMs, () -> {
 				if (this.watch == w) {
 					serve(w, List.of());
 				}
--- a/src/test/java/io/shallotspur/registry/WorkerDrainModelTests.java
+++ b/src/test/java/io/shallotspur/registry/WorkerDrainModelTests.java
@@ -165,7 +165,7 @@
 				this.store.put(vm,
 						new RegistryChange.VmUpdated(new EntryVm(vm, vm + ":80", "region-1", "hall-a", cores, false)));
 			}
-			this.gateway.vms().own(new EntryVm("vms/own", "vms/own:80", "region-1", "hall-a", standby ? 1 : 2, false));
+			this.gateway.entryVms().registerSelf(new EntryVm("vms/own", "vms/own:80", "region-1", "hall-a", standby ? 1 : 2, false));
 			this.store.put("servers/staying", worker("staying", false));
 			this.store.put("servers/leaving", worker("leaving", false));
 			this.store.put("eras/settled", new RegistryChange.EraSettled(1));
@@ -177,7 +177,7 @@
 		}
 
 		private void renew() {
-			this.timer.after(1_000, () -> {
+			this.timer.schedule(1_000, () -> {
 				this.store.renewLease(1).subscribe((exists) -> {
 				}, (ex) -> this.watcher.onCallUnanswered());
 				renew();
@@ -236,7 +236,7 @@
 			this.store.remove("servers/leaving", new RegistryChange.WorkerRemoved("leaving"));
 			passDisturbed(500);
 			this.store.setUnavailable(false);
-			this.timer.after(900, this::rewriteEntries);
+			this.timer.schedule(900, this::rewriteEntries);
 		}
 
 		private void rewriteEntries() {
@@ -256,7 +256,7 @@
 			this.store.setUnavailable(true);
 			passDisturbed(200);
 			this.store.restore(s);
-			this.timer.after(1_500, this::rewriteEntries);
+			this.timer.schedule(1_500, this::rewriteEntries);
 		}
 
 		private void passDisturbed(long ms) {
@@ -285,7 +285,7 @@
 			long now = this.timer.now();
 			List<String> used = this.gateway.roster().staying("up", now).stream().map(WorkerInfo::id).toList();
 			this.droppedMs = used.contains("staying") ? 0 : this.droppedMs + STEP_MS;
-			if (!this.wasDisconnected && this.gateway.table().isPresent() && this.droppedMs > this.maxDroppedMs) {
+			if (!this.wasDisconnected && this.gateway.routeTable().isPresent() && this.droppedMs > this.maxDroppedMs) {
 				this.violations.add("dropped the staying worker at " + now);
 			}
 			if (this.leftUndisturbed && undisturbed() && now > this.leftAt + DRAIN_MS) {
