--- a/src/main/java/io/shallotspur/registry/ConfigReader.java
+++ b/src/main/java/io/shallotspur/registry/ConfigReader.java
@@ -53,7 +53,7 @@
 	}
 
 	@Override
-	public void ask(Runnable callback) {
+	public void refresh(Runnable callback) {
 		long now = this.gateway.elapsedMs();
 		if (!this.inFlight && now - this.failedAt < RETRY_MS) {
 			callback.run();
--- a/src/test/java/io/shallotspur/registry/ConfigReaderTests.java
+++ b/src/test/java/io/shallotspur/registry/ConfigReaderTests.java
@@ -37,7 +37,7 @@
 	private final AtomicInteger completed = new AtomicInteger();
 
 	private void read() {
-		this.reader.ask(this.completed::incrementAndGet);
+		this.reader.refresh(this.completed::incrementAndGet);
 	}
 
 	private void respond(long version) {
@@ -54,7 +54,7 @@
 
 	@Test
 	void appliesTheConfigurationBeforeItCompletes() {
-		this.reader.ask(() -> Assertions.assertThat(this.gateway.routeTable().orElseThrow().version()).isEqualTo(4));
+		this.reader.refresh(() -> Assertions.assertThat(this.gateway.routeTable().orElseThrow().version()).isEqualTo(4));
 		read();
 		respond(4);
 		Assertions.assertThat(this.completed).hasValue(1);
