--- a/src/main/java/io/shallotspur/registry/ChangeApplier.java
+++ b/src/main/java/io/shallotspur/registry/ChangeApplier.java
@@ -128,11 +128,11 @@
 			}
 		}
 		updateLeader(leader, now);
-		this.gateway.roster().retainMarks(announced);
+		this.gateway.roster().retainStageChanges(announced);
 		boolean ownRemoved = !vms.contains(this.ownKey);
 		vms.add(this.ownKey);
 		recordMissingWorkers(workers, graces, now);
-		this.gateway.roster().retain(workers, graces.workerEndsAt());
+		this.gateway.roster().retainEntries(workers, graces.workerEndsAt());
 		this.gateway.entryVms().retain(vms, graces.vmEndsAt());
 		Logger.info("[registry] listed point={} workers={} vms={}", update.position(), workers.size(), vms.size());
 		if (relisted && ownRemoved) {
@@ -145,7 +145,7 @@
 	private void recordMissingWorkers(Set<String> listed, GracePeriods graces, long now) {
 		if (now >= this.unsettledUntil) {
 			this.gateway.roster()
-				.ids()
+				.workerIds()
 				.stream()
 				.filter((id) -> !listed.contains(id))
 				.forEach((id) -> recordRemoval(id, graces, now));
@@ -176,7 +176,7 @@
 		}
 		else if (c instanceof RegistryChange.WorkerRemoved e) {
 			recordRemoval(e.id(), graces, now);
-			this.gateway.roster().vanished(e.id(), graces.workerEndsAt());
+			this.gateway.roster().entryRemoved(e.id(), graces.workerEndsAt());
 			Logger.info("[registry] worker={} gone grace-ms={} news-ms={} store-failed-ms={} point={}", e.id(),
 					graces.workerRemainingMs(now), graces.updateAgeMs(), graces.sinceFailureMs(), position);
 		}
@@ -187,10 +187,10 @@
 			removeVm(e, position, graces, now);
 		}
 		else if (c instanceof RegistryChange.StageChangeAnnounced e) {
-			this.gateway.roster().marked(e.worker(), e.stage());
+			this.gateway.roster().stageChangeAnnounced(e.worker(), e.stage());
 		}
 		else if (c instanceof RegistryChange.StageChangeWithdrawn e) {
-			this.gateway.roster().unmarked(e.worker());
+			this.gateway.roster().stageChangeWithdrawn(e.worker());
 		}
 		else if (c instanceof RegistryChange.LeaderElected e) {
 			updateLeader(e, now);
@@ -207,24 +207,24 @@
 	}
 
 	private void updateWorker(WorkerInfo entry, StorePosition position, long now) {
-		boolean outdated = !entry.leaving() && now < this.unsettledUntil && this.departures.hasDeparted(entry, now);
-		WorkerInfo w = outdated ? entry.asLeaving() : entry;
-		this.gateway.roster().seen(w, now);
-		if (w.leaving()) {
+		boolean outdated = !entry.draining() && now < this.unsettledUntil && this.departures.hasDeparted(entry, now);
+		WorkerInfo w = outdated ? entry.asDraining() : entry;
+		this.gateway.roster().updateEntry(w, now);
+		if (w.draining()) {
 			recordDeparture(w.id(), now);
 		}
 		else {
 			this.departures.remove(w.id());
 		}
 		Logger.info("[registry] worker={} upstream={} stage={} leaving={} outdated={} point={}", w.id(), w.upstream(),
-				w.stage(), w.leaving(), outdated, position);
+				w.stage(), w.draining(), outdated, position);
 	}
 
 	// An unreadable entry replaces the worker's former entry, so the worker is removed.
 	// Each listing returns the entry again; an error is logged once per key.
 	private void handleUnreadable(RegistryChange.EntryUnreadable e, StorePosition position, long now) {
 		if (e.worker() != null) {
-			this.gateway.roster().vanished(e.worker(), now);
+			this.gateway.roster().entryRemoved(e.worker(), now);
 		}
 		if (this.loggedErrors.size() >= MAX_REMEMBERED_ERRORS) {
 			this.loggedErrors.clear();
--- a/src/main/java/io/shallotspur/registry/Registry.java
+++ b/src/main/java/io/shallotspur/registry/Registry.java
@@ -5,7 +5,7 @@
 
 import reactor.core.publisher.Mono;
 
-import io.shallotspur.gateway.EngineFigures;
+import io.shallotspur.gateway.EngineStatistics;
 import io.shallotspur.gateway.EntryVm;
 import io.shallotspur.gateway.WorkerStage;
 import io.shallotspur.route.RouteTable;
@@ -108,7 +108,7 @@
 	 * written if it is another one; {@link StorePosition#NONE} if there is no entry
 	 * @return whether they were written
 	 */
-	Mono<Boolean> publishStats(String upstream, EngineFigures stats, StorePosition expected);
+	Mono<Boolean> publishStats(String upstream, EngineStatistics stats, StorePosition expected);
 
 	/**
 	 * Publishes, also for VMs that start later, that the data lost in a restore of the
--- a/src/main/java/io/shallotspur/registry/RegistryWatcher.java
+++ b/src/main/java/io/shallotspur/registry/RegistryWatcher.java
@@ -253,7 +253,7 @@
 		long now = this.clock.getAsLong();
 		Logger.warn("[registry] store restored era={} known={}", era, this.position);
 		this.outages.recordRestore(this.storeUnavailable, now);
-		this.gateway.roster().waitForVanished(now, this.outages.lapseGraceEndsAt());
+		this.gateway.roster().extendGracePeriods(now, this.outages.lapseGraceEndsAt());
 		double spread = SPREAD_MS_PER_VM * this.gateway.entryVms().count(now);
 		this.applier.onStoreRestored(now);
 		this.restoreListeners.forEach((r) -> r.accept((long) (spread * this.random.getAsDouble())));
@@ -382,7 +382,7 @@
 		this.storeUnavailable = true;
 		long now = this.clock.getAsLong();
 		this.outages.recordFailure(callSentAt, now);
-		this.gateway.roster().waitForVanished(now, this.outages.lapseGraceEndsAt());
+		this.gateway.roster().extendGracePeriods(now, this.outages.lapseGraceEndsAt());
 		long delay = (long) (this.retryMs * (0.5 + 0.5 * this.random.getAsDouble()));
 		long max = this.gateway.entryVms().isStandby(now) ? MAX_STANDBY_RETRY_MS : MAX_RETRY_MS;
 		this.retryMs = Math.min(max, this.retryMs * 2);
--- a/src/main/java/io/shallotspur/registry/SharedEngineStats.java
+++ b/src/main/java/io/shallotspur/registry/SharedEngineStats.java
@@ -10,8 +10,8 @@
 import org.jspecify.annotations.Nullable;
 import org.tinylog.Logger;
 
-import io.shallotspur.gateway.EngineFigures;
-import io.shallotspur.gateway.EngineTimes;
+import io.shallotspur.gateway.EngineStatistics;
+import io.shallotspur.gateway.EngineTimeEstimator;
 import io.shallotspur.gateway.Gateway;
 import io.shallotspur.gateway.GatewayTimer;
 import io.shallotspur.route.UpstreamSpec;
@@ -99,7 +99,7 @@
 		RegistryChange.EngineStatsUpdated old = this.known.get(update.upstream());
 		if (old == null || update.position().compareTo(old.position()) > 0) {
 			this.known.put(update.upstream(), update);
-			this.gateway.engineTimes(update.upstream()).heard(update.stats());
+			this.gateway.engineTimes(update.upstream()).setSharedStatistics(update.stats());
 		}
 	}
 
@@ -129,22 +129,22 @@
 
 	private void publishIfDue(String upstream) {
 		RegistryChange.EngineStatsUpdated entry = this.known.get(upstream);
-		EngineFigures all = (entry != null) ? entry.stats() : null;
-		EngineTimes times = this.gateway.engineTimes(upstream);
-		Optional<EngineFigures> part = times.unshared().filter((p) -> shouldPublish(all, p));
+		EngineStatistics all = (entry != null) ? entry.stats() : null;
+		EngineTimeEstimator times = this.gateway.engineTimes(upstream);
+		Optional<EngineStatistics> part = times.unsharedStatistics().filter((p) -> shouldPublish(all, p));
 		if (part.isPresent() && this.blocked.add(upstream)) {
 			publish(upstream, times, entry, part.get());
 		}
 	}
 
-	private void publish(String upstream, EngineTimes times, RegistryChange.@Nullable EngineStatsUpdated entry,
-			EngineFigures part) {
-		EngineFigures old = (entry != null) ? entry.stats().atMost(MAX_SAMPLES) : null;
-		EngineFigures sum = EngineFigures.join(old, part);
+	private void publish(String upstream, EngineTimeEstimator times, RegistryChange.@Nullable EngineStatsUpdated entry,
+			EngineStatistics part) {
+		EngineStatistics old = (entry != null) ? entry.stats().limitSamples(MAX_SAMPLES) : null;
+		EngineStatistics sum = EngineStatistics.merge(old, part);
 		this.registry.publishStats(upstream, sum, (entry != null) ? entry.position() : StorePosition.NONE)
 			.subscribe((done) -> {
 				if (done) {
-					times.told(part);
+					times.markShared(part);
 					this.blocked.remove(upstream);
 				}
 				else {
@@ -161,15 +161,15 @@
 		this.timer.schedule(RETRY_MS, () -> this.blocked.remove(upstream));
 	}
 
-	static boolean shouldPublish(@Nullable EngineFigures all, EngineFigures part) {
+	static boolean shouldPublish(@Nullable EngineStatistics all, EngineStatistics part) {
 		int n = (all != null) ? Math.min(MAX_SAMPLES, all.samples()) : 0;
 		if (part.samples() < Math.max(MIN_NEW_SAMPLES, n / NEW_SAMPLES_DIVISOR)) {
 			return false;
 		}
 		return all == null || n < MAX_SAMPLES || differ(all.promptTokens(), part.promptTokens())
-				|| differ(all.answerTokens(), part.answerTokens())
+				|| differ(all.outputTokens(), part.outputTokens())
 				|| differ(all.prefillTokenMs(), part.prefillTokenMs())
-				|| differ(all.answerTokenMs(), part.answerTokenMs());
+				|| differ(all.outputTokenMs(), part.outputTokenMs());
 	}
 
 	private static boolean differ(double one, double other) {
--- a/src/test/java/io/shallotspur/registry/WorkerDrainModelTests.java
+++ b/src/test/java/io/shallotspur/registry/WorkerDrainModelTests.java
@@ -283,7 +283,7 @@
 
 		private void check() {
 			long now = this.timer.now();
-			List<String> used = this.gateway.roster().staying("up", now).stream().map(WorkerInfo::id).toList();
+			List<String> used = this.gateway.roster().activeWorkers("up", now).stream().map(WorkerInfo::id).toList();
 			this.droppedMs = used.contains("staying") ? 0 : this.droppedMs + STEP_MS;
 			if (!this.wasDisconnected && this.gateway.routeTable().isPresent() && this.droppedMs > this.maxDroppedMs) {
 				this.violations.add("dropped the staying worker at " + now);
