--- a/src/main/java/io/shallotspur/registry/Leadership.java
+++ b/src/main/java/io/shallotspur/registry/Leadership.java
@@ -67,8 +67,8 @@
 	 * @param handoverMs minimum time between the orders of two leaders, in milliseconds
 	 * @param clock supplies the current time in milliseconds
 	 */
-	public Leadership(Registry registry, VmRegistration registration, EntryVmDirectory vms, String self, long handoverMs,
-			LongSupplier clock) {
+	public Leadership(Registry registry, VmRegistration registration, EntryVmDirectory vms, String self,
+			long handoverMs, LongSupplier clock) {
 		this.registry = registry;
 		this.registration = registration;
 		this.vms = vms;
--- a/src/main/java/io/shallotspur/registry/RegistryChange.java
+++ b/src/main/java/io/shallotspur/registry/RegistryChange.java
@@ -86,7 +86,8 @@
 	 * @param stats the merged statistics of all VMs
 	 * @param position the position of the store at which they were written
 	 */
-	record EngineStatsUpdated(String upstream, EngineStatistics stats, StorePosition position) implements RegistryChange {
+	record EngineStatsUpdated(String upstream, EngineStatistics stats,
+			StorePosition position) implements RegistryChange {
 
 	}
 
--- a/src/main/java/io/shallotspur/registry/VmRegistration.java
+++ b/src/main/java/io/shallotspur/registry/VmRegistration.java
@@ -99,20 +99,20 @@
 	 * Publishes whether this VM is overloaded. It is written immediately if the VM is
 	 * registered, else with the next registration. A write that is lost is not repeated;
 	 * the next change is written again.
-	 * @param crowded whether it is
+	 * @param overloaded whether it is
 	 */
-	public void setCrowded(boolean crowded) {
-		this.vm = this.vm.withOverloaded(crowded);
+	public void setCrowded(boolean overloaded) {
+		this.vm = this.vm.withOverloaded(overloaded);
 		long l = activeLease();
 		if (l == 0) {
 			return;
 		}
 		this.registry.registerVm(this.vm, l)
 			.subscribe(
-					(ok) -> Logger.info("[registry] published load vm={} crowded={} done={}", this.vm.key(), crowded,
+					(ok) -> Logger.info("[registry] published load vm={} crowded={} done={}", this.vm.key(), overloaded,
 							ok),
 					(ex) -> Logger.warn("[registry] not published load vm={} crowded={} seen=\"{}\"", this.vm.key(),
-							crowded, ex.toString()));
+							overloaded, ex.toString()));
 	}
 
 	/**
--- a/src/test/java/io/shallotspur/registry/ConfigReaderTests.java
+++ b/src/test/java/io/shallotspur/registry/ConfigReaderTests.java
@@ -54,7 +54,8 @@
 
 	@Test
 	void appliesTheConfigurationBeforeItCompletes() {
-		this.reader.refresh(() -> Assertions.assertThat(this.gateway.routeTable().orElseThrow().version()).isEqualTo(4));
+		this.reader
+			.refresh(() -> Assertions.assertThat(this.gateway.routeTable().orElseThrow().version()).isEqualTo(4));
 		read();
 		respond(4);
 		Assertions.assertThat(this.completed).hasValue(1);
--- a/src/test/java/io/shallotspur/registry/RegistryWatcherTests.java
+++ b/src/test/java/io/shallotspur/registry/RegistryWatcherTests.java
@@ -308,7 +308,7 @@
 				new WorkerInfo(id, "up", "10.0.0.1", 80, "hall-a", 6, WorkerStage.PLAIN, true, 0, 0));
 	}
 
-	private List<String> staying() {
+	private List<String> activeWorkers() {
 		return this.gateway.roster().activeWorkers("up", this.timer.now()).stream().map(WorkerInfo::id).toList();
 	}
 
@@ -340,10 +340,10 @@
 		deliver(11, leaving("w1"));
 		this.timer.advance(200);
 		restore(9, config(3), worker("w1"), worker("w2"));
-		Assertions.assertThat(staying()).containsExactly("w2");
+		Assertions.assertThat(activeWorkers()).containsExactly("w2");
 		deliver(10, leaving("w1"));
 		this.timer.advance(3_000);
-		Assertions.assertThat(staying()).containsExactly("w2");
+		Assertions.assertThat(activeWorkers()).containsExactly("w2");
 	}
 
 	// The snapshot contains the entry of a removed worker. It is used again only if the
@@ -354,11 +354,11 @@
 		deliver(11, new RegistryChange.WorkerRemoved("w1"));
 		this.timer.advance(200);
 		restore(9, config(3), worker("w1"), worker("w2"));
-		Assertions.assertThat(staying()).containsExactly("w2");
+		Assertions.assertThat(activeWorkers()).containsExactly("w2");
 		this.registry.listings
 			.add(new RegistryUpdate(new StorePosition(1, 30), List.of(config(3), worker("w1"), worker("w2"))));
 		this.timer.advance(3_000);
-		Assertions.assertThat(staying()).containsExactlyInAnyOrder("w1", "w2");
+		Assertions.assertThat(activeWorkers()).containsExactlyInAnyOrder("w1", "w2");
 	}
 
 	// The snapshot was taken before a worker registered. If the worker were taken as
@@ -369,10 +369,10 @@
 		deliver(11, worker("w2"));
 		this.timer.advance(200);
 		restore(9, config(3), worker("w1"));
-		Assertions.assertThat(staying()).containsExactlyInAnyOrder("w1", "w2");
+		Assertions.assertThat(activeWorkers()).containsExactlyInAnyOrder("w1", "w2");
 		deliver(10, worker("w2"));
 		this.timer.advance(10_000);
-		Assertions.assertThat(staying()).containsExactlyInAnyOrder("w1", "w2");
+		Assertions.assertThat(activeWorkers()).containsExactlyInAnyOrder("w1", "w2");
 	}
 
 	@Test
@@ -382,7 +382,7 @@
 		this.timer.advance(200);
 		restore(9, config(3), worker("w1"));
 		this.timer.advance(3_000);
-		Assertions.assertThat(staying()).containsExactly("w1");
+		Assertions.assertThat(activeWorkers()).containsExactly("w1");
 	}
 
 	// The store is restored again before the first restore has settled.
@@ -397,10 +397,10 @@
 			.add(new RegistryUpdate(new StorePosition(2, 7), List.of(config(3), worker("w1"), worker("w2"))));
 		this.registry.restore();
 		this.timer.advance(1_500);
-		Assertions.assertThat(staying()).containsExactly("w2");
+		Assertions.assertThat(activeWorkers()).containsExactly("w2");
 		this.registry.listings.add(new RegistryUpdate(new StorePosition(2, 20), List.of(config(3), worker("w2"))));
 		this.timer.advance(1_500);
-		Assertions.assertThat(staying()).containsExactly("w2");
+		Assertions.assertThat(activeWorkers()).containsExactly("w2");
 		Assertions.assertThat(this.registry.settledEras).containsExactly(2L);
 	}
 
--- a/src/test/java/io/shallotspur/registry/RevocationModelTests.java
+++ b/src/test/java/io/shallotspur/registry/RevocationModelTests.java
@@ -218,7 +218,7 @@
 			String id = "q" + this.sentAt.size();
 			this.sentAt.put(id, now());
 			this.gateway.handle(new RelayRequest(id, "GET", "/x", "h", List.of(), new byte[0], 1_500, null, null,
-					BearerKey.hash("key")), new NopAnswer());
+					BearerKey.hash("key")), new NopResponse());
 		}
 
 		private void revoke() {
@@ -275,7 +275,7 @@
 	/**
 	 * A caller that ignores its response.
 	 */
-	private static final class NopAnswer implements CallerResponse {
+	private static final class NopResponse implements CallerResponse {
 
 		@Override
 		public void send(int status, List<HeaderField> headers, byte[] body) {
--- a/src/test/java/io/shallotspur/registry/SharedEngineStatsTests.java
+++ b/src/test/java/io/shallotspur/registry/SharedEngineStatsTests.java
@@ -9,14 +9,14 @@
 import io.shallotspur.gateway.DecisionLog;
 import io.shallotspur.gateway.EngineStatistics;
 import io.shallotspur.gateway.EngineTimeEstimator;
+import io.shallotspur.gateway.EngineTimeSamples;
 import io.shallotspur.gateway.Gateway;
 import io.shallotspur.gateway.GatewayPorts;
 import io.shallotspur.gateway.GatewaySettings;
-import io.shallotspur.gateway.OutputLengthModel;
 import io.shallotspur.gateway.ManualTimer;
 import io.shallotspur.gateway.NopWorkers;
+import io.shallotspur.gateway.OutputLengthModel;
 import io.shallotspur.gateway.RelayMetrics;
-import io.shallotspur.gateway.EngineTimeSamples;
 import io.shallotspur.route.EngineSpec;
 import io.shallotspur.route.IngressLimits;
 import io.shallotspur.route.RouteTable;
@@ -78,9 +78,8 @@
 	// the number of calls would grow with the traffic times the number of VMs.
 	@Test
 	void publishesNothingOnceTheLoadIsKnown() {
-		Assertions
-			.assertThat(SharedEngineStats.shouldPublish(KNOWN,
-					new EngineStatistics(20, 3_200, 450, 3_900, 0.031, 0.031, 7.5, OutputLengthModel.PRIOR)))
+		Assertions.assertThat(SharedEngineStats.shouldPublish(KNOWN,
+				new EngineStatistics(20, 3_200, 450, 3_900, 0.031, 0.031, 7.5, OutputLengthModel.PRIOR)))
 			.isFalse();
 		Assertions
 			.assertThat(SharedEngineStats.shouldPublish(KNOWN,
--- a/src/test/java/io/shallotspur/registry/WorkerDrainModelTests.java
+++ b/src/test/java/io/shallotspur/registry/WorkerDrainModelTests.java
@@ -165,7 +165,8 @@
 				this.store.put(vm,
 						new RegistryChange.VmUpdated(new EntryVm(vm, vm + ":80", "region-1", "hall-a", cores, false)));
 			}
-			this.gateway.entryVms().registerSelf(new EntryVm("vms/own", "vms/own:80", "region-1", "hall-a", standby ? 1 : 2, false));
+			this.gateway.entryVms()
+				.registerSelf(new EntryVm("vms/own", "vms/own:80", "region-1", "hall-a", standby ? 1 : 2, false));
 			this.store.put("servers/staying", worker("staying", false));
 			this.store.put("servers/leaving", worker("leaving", false));
 			this.store.put("eras/settled", new RegistryChange.EraSettled(1));
