--- a/src/main/java/io/shallotspur/gateway/AdmittedRequest.java
+++ b/src/main/java/io/shallotspur/gateway/AdmittedRequest.java
@@ -7,15 +7,16 @@
 import io.shallotspur.route.RouteTable;
 
 /**
- * A request that may run, and on what terms. Immutable.
+ * A request that passed routing, authentication and the quota check. Immutable.
  *
  * @param request the request
- * @param routeTable the configuration that it was judged by
- * @param route its route
- * @param customer whose it is, or {@code null} if callers need no key there
- * @param quotaCost what it has taken of the customer's quota, in the quota's units
+ * @param routeTable the configuration used to admit it
+ * @param route the matched route
+ * @param customer the authenticated customer, or {@code null} for an anonymous caller
+ * @param quotaCost the amount charged to the customer's quota, in the quota's units
  */
-record AdmittedRequest(RelayRequest request, RouteTable routeTable, Route route, @Nullable Customer customer, double quotaCost) {
+record AdmittedRequest(RelayRequest request, RouteTable routeTable, Route route, @Nullable Customer customer,
+		double quotaCost) {
 
 	int priority() {
 		return (this.customer != null) ? this.customer.priorityOn(this.route) : this.route.priority();
--- a/src/main/java/io/shallotspur/gateway/Attempt.java
+++ b/src/main/java/io/shallotspur/gateway/Attempt.java
@@ -6,17 +6,17 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One request at one worker: judges what comes back and hands on what can be trusted. Not
- * thread-safe; confined to the gateway's thread.
+ * One attempt to run a request at one worker. Validates the response and forwards only
+ * the parts that can be trusted. Not thread-safe; confined to the gateway's thread.
  * <p>
- * Invariant: of {@link Listener#onSuccess} and {@link Listener#onFailure} exactly one is called,
- * once, unless the attempt is cancelled.
+ * Invariant: exactly one of {@link Listener#onSuccess} and {@link Listener#onFailure} is
+ * called, once, unless the attempt is cancelled.
  */
 final class Attempt implements ExchangeListener {
 
-	// Answers up to this size are held until they are whole, so that a cut one can
-	// still be replaced by another worker's answer or by a true error, bytes. Measured
-	// answers of plain services stay below 8 KB.
+	// Responses up to this size are buffered until complete, so that a truncated one can
+	// still be replaced by another worker's response or by an accurate error, bytes.
+	// Measured responses of plain services are below 8 KB.
 	private static final int MAX_BUFFERED_BYTES = 256 << 10;
 
 	private final Listener listener;
@@ -31,7 +31,7 @@
 
 	private final EventSplitter events = new EventSplitter();
 
-	private final Runnable onWorkerRestart = () -> onFailure(new ExchangeFailure(true, "worker started again"));
+	private final Runnable onWorkerRestart = () -> onFailure(new ExchangeFailure(true, "worker restarted"));
 
 	private @Nullable ResponseHead head;
 
@@ -43,13 +43,13 @@
 
 	/**
 	 * Creates an attempt.
-	 * @param sink hears the result
+	 * @param listener receives the result
 	 * @param worker the worker
-	 * @param stream whether a success is a stream of events
+	 * @param stream whether a successful response is an event stream
 	 * @param resumed whether the caller already has the beginning of the stream
 	 */
-	Attempt(Listener sink, WorkerState worker, boolean stream, boolean resumed) {
-		this.listener = sink;
+	Attempt(Listener listener, WorkerState worker, boolean stream, boolean resumed) {
+		this.listener = listener;
 		this.worker = worker;
 		this.stream = stream;
 		this.resumed = resumed;
@@ -70,7 +70,7 @@
 	}
 
 	/**
-	 * Gives the attempt up; the worker is to stop.
+	 * Cancels the attempt and tells the worker to stop.
 	 */
 	void cancel() {
 		finish();
@@ -87,13 +87,13 @@
 		this.head = h;
 		this.listener.onHead(h);
 		if (h.authenticity() == ResponseAuthenticity.MISMATCHED) {
-			fail(AttemptEnd.UNKNOWN, "foreign answer");
+			fail(AttemptEnd.UNKNOWN, "response does not match the request");
 		}
 		else if (h.notRun()) {
 			fail(AttemptEnd.NOT_RUN, "status " + h.status());
 		}
 		else if (h.isSuccess() && h.authenticity() != ResponseAuthenticity.SIGNED) {
-			fail(AttemptEnd.UNKNOWN, "unsigned success");
+			fail(AttemptEnd.UNKNOWN, "unsigned success response");
 		}
 	}
 
@@ -111,13 +111,13 @@
 		}
 	}
 
-	private void onEvents(ResponseHead h, List<byte[]> whole) {
-		for (byte[] event : whole) {
+	private void onEvents(ResponseHead h, List<byte[]> completeEvents) {
+		for (byte[] event : completeEvents) {
 			startResponse(h);
 			this.listener.onEvent(event);
 		}
 		if (this.events.exceedsMaxSize()) {
-			fail(AttemptEnd.UNKNOWN, "event too long");
+			fail(AttemptEnd.UNKNOWN, "event exceeds the maximum size");
 		}
 	}
 
@@ -148,7 +148,7 @@
 			return;
 		}
 		if (this.events.hasPartialEvent()) {
-			fail(AttemptEnd.UNKNOWN, "ended within an event");
+			fail(AttemptEnd.UNKNOWN, "stream ended within an event");
 		}
 		else if (!h.isSuccess() && (h.authenticity() != ResponseAuthenticity.SIGNED || this.resumed)) {
 			fail(AttemptEnd.UNKNOWN, "status " + h.status());
@@ -181,26 +181,28 @@
 	}
 
 	/**
-	 * Hears what an attempt brings.
+	 * Receives the progress and the result of an attempt.
 	 */
 	interface Listener {
 
-		// The answer has begun; it may have news of the worker.
+		// The response head was received; it may carry the worker's load and limit.
 		void onHead(ResponseHead head);
 
-		// A success begins whose bytes follow.
+		// A response starts whose body follows in parts: a success, or a failure too
+		// large to buffer.
 		void onResponseStart(ResponseHead head);
 
-		// A whole event of a stream.
+		// A complete event of a stream.
 		void onEvent(byte[] event);
 
-		// Bytes of a long answer that is no stream.
+		// Part of a large response that is not a stream.
 		void onBytes(byte[] bytes);
 
-		// The answer is whole; the body is empty if it was handed on in parts.
-		void onSuccess(ResponseHead head, byte[] body, boolean begun);
+		// The response is complete; the body is empty if it was forwarded in parts.
+		void onSuccess(ResponseHead head, byte[] body, boolean responseStarted);
 
-		// No success; head and body are those of the worker's own failure, if any.
+		// The attempt failed; head and body are those of the worker's own error
+		// response, if any.
 		void onFailure(AttemptEnd end, String reason, @Nullable ResponseHead head, byte[] body);
 
 	}
--- a/src/main/java/io/shallotspur/gateway/CallerResponse.java
+++ b/src/main/java/io/shallotspur/gateway/CallerResponse.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * The answer to one caller. Either {@link #send} is called once, or {@link #start}, then
- * any number of {@link #write}, then {@link #complete} or {@link #abort}. Called on the
- * gateway's thread.
+ * The response to one caller. The gateway calls either {@link #send} or {@link #refuse},
+ * once, or {@link #start}, any number of {@link #write}, and then {@link #complete} or
+ * {@link #abort}. Called on the gateway's thread.
  */
 public interface CallerResponse {
 
 	/**
-	 * Answers with a body of known length.
+	 * Sends a response with a body of known length.
 	 * @param status the HTTP status
 	 * @param headers the header fields
 	 * @param body the body
@@ -18,31 +18,31 @@
 	void send(int status, List<HeaderField> headers, byte[] body);
 
 	/**
-	 * Refuses the request or reports its failure in this VM's own name.
-	 * @param refusal what the caller is told
+	 * Sends a refusal or an error that this VM generates itself.
+	 * @param refusal status, reason and retry delay for the caller
 	 */
 	void refuse(RelayRefusal refusal);
 
 	/**
-	 * Begins an answer whose length is not known.
+	 * Starts a response of unknown length.
 	 * @param status the HTTP status
 	 * @param headers the header fields
 	 */
 	void start(int status, List<HeaderField> headers);
 
 	/**
-	 * Sends a part of the body at once.
+	 * Sends part of the body immediately.
 	 * @param bytes the bytes
 	 */
 	void write(byte[] bytes);
 
 	/**
-	 * Marks the answer as complete.
+	 * Ends the response as complete.
 	 */
 	void complete();
 
 	/**
-	 * Closes the connection so that the answer is seen to be incomplete.
+	 * Closes the connection in a way that lets the caller detect the truncated response.
 	 */
 	void abort();
 
--- a/src/main/java/io/shallotspur/gateway/DecisionLog.java
+++ b/src/main/java/io/shallotspur/gateway/DecisionLog.java
@@ -5,12 +5,11 @@
 import org.tinylog.Logger;
 
 /**
- * Writes one line for each decision about a request, at most so many a second. Not
- * thread-safe.
+ * Logs one line per decision about a request, up to a rate limit. Not thread-safe.
  * <p>
- * Under overload each request is refused or retried, and a line for each would slow down
- * the very VM that has too much to do. Lines over the limit are counted, and the count is
- * written with the first line of the next second.
+ * Under overload, every request is refused or retried, and logging each of them would
+ * slow down a VM that is already overloaded. Lines over the limit are counted, and the
+ * count is logged with the first line of a later second.
  */
 public final class DecisionLog {
 
@@ -26,16 +25,16 @@
 
 	/**
 	 * Creates a log.
-	 * @param linesPerSecond the most lines in a second
+	 * @param linesPerSecond the maximum number of lines per second
 	 */
 	public DecisionLog(int linesPerSecond) {
 		this.linesPerSecond = linesPerSecond;
 	}
 
 	/**
-	 * Writes a line unless this second's lines are used up.
-	 * @param now the present time in milliseconds
-	 * @param line makes the line; not called if it is dropped
+	 * Logs a line unless the limit of the current second is reached.
+	 * @param now the current time in milliseconds
+	 * @param line builds the line; not called if the line is dropped
 	 */
 	public void write(long now, Supplier<String> line) {
 		if (now / SECOND_MS != this.second) {
@@ -53,7 +52,7 @@
 		this.second = now / SECOND_MS;
 		this.written = 0;
 		if (this.dropped > 0) {
-			Logger.info("[relay] lines dropped={}", this.dropped);
+			Logger.info("[relay] log lines dropped={}", this.dropped);
 			this.dropped = 0;
 		}
 	}
--- a/src/main/java/io/shallotspur/gateway/EntryVm.java
+++ b/src/main/java/io/shallotspur/gateway/EntryVm.java
@@ -1,24 +1,24 @@
 package io.shallotspur.gateway;
 
 /**
- * An entry VM as its registration describes it. Immutable.
+ * An entry VM as described by its registration. Immutable.
  *
- * @param key its key, unique for each start of a VM
- * @param address where callers connect
+ * @param key the registration key, unique for each start of a VM
+ * @param address the address for callers
  * @param region the region of its hall
- * @param hall where it runs
- * @param cores processor cores that it may use; a part of one is a fraction
- * @param overloaded whether it says that callers wait for its processor
+ * @param hall the hall it runs in
+ * @param cores processor cores available to it; may be fractional
+ * @param overloaded whether it reports that requests wait for its processor
  */
 public record EntryVm(String key, String address, String region, String hall, double cores, boolean overloaded) {
 
 	/**
-	 * Returns this VM as one that says otherwise whether callers wait for it.
-	 * @param now whether they do
-	 * @return an entry that differs in that only
+	 * Returns a copy with another overload status.
+	 * @param value whether requests wait for its processor
+	 * @return the copy
 	 */
-	public EntryVm withOverloaded(boolean now) {
-		return new EntryVm(this.key, this.address, this.region, this.hall, this.cores, now);
+	public EntryVm withOverloaded(boolean value) {
+		return new EntryVm(this.key, this.address, this.region, this.hall, this.cores, value);
 	}
 
 }
--- a/src/main/java/io/shallotspur/gateway/EntryVmDirectory.java
+++ b/src/main/java/io/shallotspur/gateway/EntryVmDirectory.java
@@ -11,34 +11,34 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The entry VMs that take callers, and which of them a caller is told to use. Not
+ * The registered entry VMs, and the selection of those that callers are directed to. Not
  * thread-safe; confined to the gateway's thread.
  */
 public final class EntryVmDirectory {
 
-	// A region whose VMs are fewer sends its callers to other regions too: one VM alone
-	// would be lost to all of them at once.
+	// A region with fewer VMs directs its callers to other regions too: the loss of a
+	// single VM would cut off all of them.
 	private static final int MIN_VMS_PER_REGION = 2;
 
 	private final Map<String, Registration> byKey = new LinkedHashMap<>();
 
-	// Asked for with each request; with hundreds of VMs it is chosen again only when they
-	// change.
+	// Cached, because it is needed for each request and there may be hundreds of VMs;
+	// recomputed when the registrations change.
 	private @Nullable Selection selection;
 
-	private @Nullable EntryVm own;
+	private @Nullable EntryVm self;
 
 	/**
-	 * Says which VM this one is.
+	 * Registers this VM and remembers it as the local one.
 	 * @param vm this VM
 	 */
 	public void registerSelf(EntryVm vm) {
-		this.own = vm;
+		this.self = vm;
 		register(vm);
 	}
 
 	/**
-	 * Takes the registration of a VM.
+	 * Adds or updates the registration of a VM.
 	 * @param vm the VM
 	 */
 	public void register(EntryVm vm) {
@@ -47,10 +47,10 @@
 	}
 
 	/**
-	 * Takes the end of a registration.
+	 * Marks a registration as removed.
 	 * @param key its key
-	 * @param until until when callers are still sent there, in milliseconds; the present
-	 * or a past time if not at all
+	 * @param until until when callers are still directed to the VM, in milliseconds; not
+	 * after the current time to stop at once
 	 */
 	public void deregister(String key, long until) {
 		this.byKey.computeIfPresent(key, (k, e) -> new Registration(e.vm(), Math.min(e.until(), until)));
@@ -58,7 +58,7 @@
 	}
 
 	/**
-	 * Takes a whole listing: registrations that it lacks have ended.
+	 * Applies a complete listing: registrations that it lacks are removed.
 	 * @param keys all keys
 	 * @param until as in {@link #deregister}
 	 */
@@ -71,19 +71,19 @@
 	}
 
 	/**
-	 * Returns how many other VMs come before one in an order that all VMs agree on as far
-	 * as they know the same registrations. Those that serve callers come last: what is
-	 * lost with a VM is then either a task that is done once or the requests of callers,
-	 * not both.
+	 * Returns the number of other VMs that precede a VM in an order that is the same on
+	 * all VMs with the same view of the registrations. VMs that serve callers come last,
+	 * so that the loss of one VM affects either a singleton task or the requests of
+	 * callers, not both.
 	 * @param key the VM's key
-	 * @param now the present time in milliseconds
+	 * @param now the current time in milliseconds
 	 * @return its rank; 0 is first
 	 */
 	public int rank(String key, long now) {
-		List<EntryVm> present = liveVms(now);
+		List<EntryVm> live = liveVms(now);
 		Set<String> serving = new HashSet<>();
-		present.forEach((v) -> serving(v.region(), now).forEach((w) -> serving.add(w.key())));
-		return (int) present.stream()
+		live.forEach((v) -> serving(v.region(), now).forEach((w) -> serving.add(w.key())));
+		return (int) live.stream()
 			.map(EntryVm::key)
 			.filter((k) -> (serving.contains(k) != serving.contains(key)) ? serving.contains(key)
 					: k.compareTo(key) < 0)
@@ -91,21 +91,21 @@
 	}
 
 	/**
-	 * Returns how many VMs take callers.
-	 * @param now the present time in milliseconds
-	 * @return the number, without doubles of one address
+	 * Returns the number of VMs that accept callers.
+	 * @param now the current time in milliseconds
+	 * @return the number of distinct addresses
 	 */
 	public int count(long now) {
 		return liveVms(now).size();
 	}
 
 	/**
-	 * Returns the addresses a caller is to use: a few VMs of its region if there are
-	 * enough, else of all.
+	 * Returns the addresses that a caller should use: selected VMs of its region if the
+	 * region has enough, otherwise selected from all regions.
 	 * @param region the caller's region
-	 * @param max the most addresses
-	 * @param now the present time in milliseconds
-	 * @return the addresses, without doubles
+	 * @param max the maximum number of addresses
+	 * @param now the current time in milliseconds
+	 * @return distinct addresses
 	 */
 	public List<String> addressesFor(String region, int max, long now) {
 		return serving(region, now).stream().limit(max).map(EntryVm::address).toList();
@@ -130,17 +130,17 @@
 	}
 
 	/**
-	 * Returns how many VMs the callers of this VM's region are told to use.
-	 * @param now the present time in milliseconds
+	 * Returns the number of VMs that callers of this VM's region are directed to.
+	 * @param now the current time in milliseconds
 	 * @return the number of VMs, at least 1
 	 */
 	int servingCountOwnRegion(long now) {
-		return (this.own != null) ? Math.max(1, serving(this.own.region(), now).size()) : 1;
+		return (this.self != null) ? Math.max(1, serving(this.self.region(), now).size()) : 1;
 	}
 
 	/**
-	 * Returns how many VMs the callers of all regions are told to use.
-	 * @param now the present time in milliseconds
+	 * Returns the number of VMs that callers of any region are directed to.
+	 * @param now the current time in milliseconds
 	 * @return the number of VMs, at least 1
 	 */
 	int servingCountAllRegions(long now) {
@@ -148,29 +148,30 @@
 	}
 
 	/**
-	 * Returns this VM's place among those that the callers of all regions are told to
-	 * use, in an order that all VMs agree on as far as they know the same registrations.
-	 * @param now the present time in milliseconds
-	 * @return its place, from 0, or -1 if callers are told to use others
+	 * Returns the index of this VM among the VMs that callers of any region are directed
+	 * to. The order is the same on all VMs with the same view of the registrations.
+	 * @param now the current time in milliseconds
+	 * @return the index, from 0; -1 if callers are directed to other VMs; 0 if this VM
+	 * has not registered itself or no VM is known
 	 */
 	int servingIndex(long now) {
 		List<String> l = selection(now).addresses();
-		return (this.own == null || l.isEmpty()) ? 0 : l.indexOf(this.own.address());
+		return (this.self == null || l.isEmpty()) ? 0 : l.indexOf(this.self.address());
 	}
 
 	/**
-	 * Tells whether the callers of this VM's region are told to use others.
-	 * @param now the present time in milliseconds
-	 * @return {@code false} if it serves them, or is not known
+	 * Returns whether the callers of this VM's region are directed to other VMs.
+	 * @param now the current time in milliseconds
+	 * @return {@code false} if this VM serves callers or is not registered
 	 */
 	public boolean isStandby(long now) {
-		EntryVm me = this.own;
-		return me != null && this.byKey.containsKey(me.key())
-				&& serving(me.region(), now).stream().noneMatch((v) -> v.address().equals(me.address()));
+		EntryVm vm = this.self;
+		return vm != null && this.byKey.containsKey(vm.key())
+				&& serving(vm.region(), now).stream().noneMatch((v) -> v.address().equals(vm.address()));
 	}
 
-	// Of two registrations with one address the later one counts: a process that starts
-	// again has the address of the one before, whose registration lapses later.
+	// If two registrations share an address, the later one wins: a restarted process
+	// reuses the address while its previous registration has not expired yet.
 	private List<EntryVm> liveVms(long now) {
 		this.byKey.values().removeIf((e) -> now >= e.until());
 		Map<String, EntryVm> byAddress = new LinkedHashMap<>();
@@ -183,13 +184,13 @@
 	}
 
 	/**
-	 * The VMs that serve. Immutable.
+	 * The VMs selected to serve callers. Immutable.
 	 *
-	 * @param byRegion those of each region that has enough
-	 * @param allRegions those for callers of any other region
-	 * @param addresses those of all regions that have enough, or of all, in an agreed
-	 * order
-	 * @param until when a VM among all ends, in milliseconds
+	 * @param byRegion the selected VMs of each region that has enough
+	 * @param allRegions the selected VMs for callers of any other region
+	 * @param addresses the addresses of the VMs in {@code byRegion}, or in
+	 * {@code allRegions} if no region has enough, in an order that all VMs agree on
+	 * @param until when the first of all registrations expires, in milliseconds
 	 */
 	private record Selection(Map<String, List<EntryVm>> byRegion, List<EntryVm> allRegions, List<String> addresses,
 			long until) {
--- a/src/main/java/io/shallotspur/gateway/EventSplitter.java
+++ b/src/main/java/io/shallotspur/gateway/EventSplitter.java
@@ -6,11 +6,11 @@
 import java.util.List;
 
 /**
- * Cuts a stream of server-sent events into whole events. Not thread-safe.
+ * Splits a stream of server-sent events into complete events. Not thread-safe.
  * <p>
- * A worker may die in the middle of an event. Bytes that were relayed at once could not
- * be taken back, and the rest of the stream, resumed at another worker, would be joined
- * to half an event. So only whole events leave here.
+ * A worker may fail in the middle of an event. A partial event that was already relayed
+ * could not be retracted, and the stream resumed at another worker would be appended to
+ * it. Only complete events are therefore returned.
  */
 final class EventSplitter {
 
@@ -23,9 +23,9 @@
 	private boolean hasContent;
 
 	/**
-	 * Takes bytes of the stream.
+	 * Appends bytes of the stream.
 	 * @param bytes the bytes
-	 * @return the events that are whole now, each with its closing empty line
+	 * @return the events completed by these bytes, each with its terminating empty line
 	 */
 	List<byte[]> append(byte[] bytes) {
 		List<byte[]> events = new ArrayList<>();
@@ -51,7 +51,7 @@
 	}
 
 	/**
-	 * Forgets a part of an event, before another worker's stream goes on.
+	 * Discards a partial event, before the stream resumes at another worker.
 	 */
 	void reset() {
 		this.pending.reset();
@@ -60,16 +60,16 @@
 	}
 
 	/**
-	 * Tells whether the last event is not whole.
-	 * @return {@code true} if bytes wait for the end of their event
+	 * Returns whether the stream ends with a partial event.
+	 * @return {@code true} if bytes of an incomplete event are pending
 	 */
 	boolean hasPartialEvent() {
 		return this.hasContent;
 	}
 
 	/**
-	 * Tells whether an event is longer than any sender may make it.
-	 * @return {@code true} if the pending event passes one megabyte
+	 * Returns whether the pending event exceeds the maximum size.
+	 * @return {@code true} if the pending event exceeds one megabyte
 	 */
 	boolean exceedsMaxSize() {
 		return this.pending.size() > MAX_EVENT_BYTES;
@@ -77,8 +77,8 @@
 
 	/**
 	 * Returns the id of an event.
-	 * @param event a whole event
-	 * @return its id, or an empty text if it has none
+	 * @param event a complete event
+	 * @return its id, or an empty string if it has none
 	 */
 	static String eventId(byte[] event) {
 		for (String line : new String(event, StandardCharsets.UTF_8).split("\n")) {
--- a/src/main/java/io/shallotspur/gateway/Exchange.java
+++ b/src/main/java/io/shallotspur/gateway/Exchange.java
@@ -1,14 +1,14 @@
 package io.shallotspur.gateway;
 
 /**
- * A call to a worker that is under way.
+ * A call to a worker that is in progress.
  */
 @FunctionalInterface
 public interface Exchange {
 
 	/**
-	 * Gives the call up: the worker is to stop working on it. No listener is called
-	 * afterwards. Does nothing if the call has ended.
+	 * Cancels the call and tells the worker to stop. No listener method is called
+	 * afterwards. Has no effect if the call has ended.
 	 */
 	void cancel();
 
--- a/src/main/java/io/shallotspur/gateway/ExchangeFailure.java
+++ b/src/main/java/io/shallotspur/gateway/ExchangeFailure.java
@@ -1,10 +1,10 @@
 package io.shallotspur.gateway;
 
 /**
- * How a call to a worker ended without a whole answer.
+ * A call to a worker that ended without a complete response.
  *
- * @param sent whether some of the request may have left this VM
- * @param reason what was seen, for the log
+ * @param sent whether any part of the request may have left this VM
+ * @param reason the cause, for the log
  */
 public record ExchangeFailure(boolean sent, String reason) {
 
--- a/src/main/java/io/shallotspur/gateway/ExchangeListener.java
+++ b/src/main/java/io/shallotspur/gateway/ExchangeListener.java
@@ -1,31 +1,31 @@
 package io.shallotspur.gateway;
 
 /**
- * Hears what becomes of a call to a worker. All methods are called on the gateway's
- * thread, in the order head, bytes, end; a failure may come at any point and is the last.
+ * Receives the response of a worker. All methods are called on the gateway's thread, in
+ * the order head, bytes, end; a failure may occur at any point and is the last call.
  */
 public interface ExchangeListener {
 
 	/**
-	 * The head of the answer has come.
+	 * The response head was received.
 	 * @param head the head
 	 */
 	void onHead(ResponseHead head);
 
 	/**
-	 * A part of the body has come.
-	 * @param bytes the bytes; they belong to the listener
+	 * Part of the body was received.
+	 * @param bytes the bytes; owned by the listener
 	 */
 	void onBytes(byte[] bytes);
 
 	/**
-	 * The answer is whole.
+	 * The response is complete.
 	 */
 	void onEnd();
 
 	/**
-	 * The call ended before its answer was whole.
-	 * @param failure what was seen
+	 * The call ended before its response was complete.
+	 * @param failure the cause
 	 */
 	void onFailure(ExchangeFailure failure);
 
--- a/src/main/java/io/shallotspur/gateway/Gateway.java
+++ b/src/main/java/io/shallotspur/gateway/Gateway.java
@@ -12,11 +12,12 @@
 import io.shallotspur.route.RouteTable;
 
 /**
- * Relays callers' requests to workers. Not thread-safe: everything is called on one
+ * Relays callers' requests to workers. Not thread-safe: all methods are called on one
  * thread, and the ports call back on it.
  * <p>
- * Invariants: the configuration never goes back to an older version; each request is
- * answered, refused or broken off exactly once.
+ * Invariants: the configuration is never replaced by an older version; each request ends
+ * exactly once, with a response, a refusal, an aborted response or the caller's
+ * disconnect.
  */
 public final class Gateway {
 
@@ -65,7 +66,7 @@
 
 	private @Nullable RouteTable routeTable;
 
-	// Read by the thread that waits for the end.
+	// Volatile: read by the thread that waits for the drain to finish.
 	private volatile int inProgress;
 
 	private long refusesFrom = Long.MAX_VALUE;
@@ -73,9 +74,9 @@
 	private long shutdownAt = Long.MAX_VALUE;
 
 	/**
-	 * Creates a gateway that knows no configuration and no workers.
+	 * Creates a gateway without configuration or workers.
 	 * @param settings its settings
-	 * @param ports what it uses
+	 * @param ports its ports to workers, timer, clocks, log and metrics
 	 */
 	public Gateway(GatewaySettings settings, GatewayPorts ports) {
 		this.settings = settings;
@@ -93,23 +94,24 @@
 	}
 
 	/**
-	 * Takes a configuration. One that is not newer than the one in force is left aside: a
-	 * stale read of the store must not bring back a route that callers have seen gone.
+	 * Applies a configuration. A version that is not newer than the current one is
+	 * ignored: a stale read of the store must not restore a route that callers have seen
+	 * removed.
 	 * @param next the configuration
-	 * @return whether it is in force now
+	 * @return whether it was applied
 	 */
 	public boolean configure(RouteTable next) {
 		if (this.routeTable != null && next.version() <= this.routeTable.version()) {
 			return false;
 		}
 		this.routeTable = next;
-		Logger.info("[config] in force version={}", next.version());
+		Logger.info("[config] applied version={}", next.version());
 		return true;
 	}
 
 	/**
-	 * Returns the configuration in force.
-	 * @return the configuration, or empty if none is known
+	 * Returns the current configuration.
+	 * @return the configuration, or empty if none is loaded
 	 */
 	public Optional<RouteTable> routeTable() {
 		return Optional.ofNullable(this.routeTable);
@@ -117,7 +119,7 @@
 
 	/**
 	 * Returns the workers.
-	 * @return the workers, to be kept up to date by whoever reads the registry
+	 * @return the workers; kept up to date by the registry watcher
 	 */
 	public Roster roster() {
 		return this.roster;
@@ -125,28 +127,27 @@
 
 	/**
 	 * Returns the entry VMs.
-	 * @return the VMs, to be kept up to date by whoever reads the registry
+	 * @return the VMs; kept up to date by the registry watcher
 	 */
 	public EntryVmDirectory entryVms() {
 		return this.entryVms;
 	}
 
 	/**
-	 * Returns what the latest requests took at the engines of an upstream.
+	 * Returns timing statistics of recent requests at the engines of an upstream.
 	 * @param upstream the upstream
-	 * @return the figures, kept up to date
+	 * @return the statistics, updated with each request
 	 */
 	public EngineTimes engineTimes(String upstream) {
 		return this.engineTimes.computeIfAbsent(upstream, (u) -> new EngineTimes());
 	}
 
 	/**
-	 * Says that this VM ends. Callers who still have its address would find nobody, and
-	 * some have but one try left, so it answers to the end: what cannot be answered in
-	 * time is refused as not run.
-	 * @param refuseFrom from when on requests are refused that would take too long, on the
-	 * clock of the gateway
-	 * @param shutdownAt when the last answer has to be whole, on the same clock
+	 * Starts draining this VM. Callers that still have its address would find nothing
+	 * listening, and some have only one try left, so it keeps responding until it shuts
+	 * down: requests that cannot finish in time are refused as not run.
+	 * @param refuseFrom from when on such requests are refused, on the gateway's clock
+	 * @param shutdownAt when the last response must be complete, on the same clock
 	 */
 	public void drain(long refuseFrom, long shutdownAt) {
 		this.refusesFrom = refuseFrom;
@@ -157,17 +158,17 @@
 		if (now < this.refusesFrom) {
 			return false;
 		}
-		long most = Math.min(r.callerTimeoutMs(), route.timeoutMs());
+		long longestMs = Math.min(r.callerTimeoutMs(), route.timeoutMs());
 		PromptShape p = r.prompt();
 		if (p != null) {
-			long answer = engineTimes(route.chooseUpstream(0)).answerMs(p.likelyOutputTokens());
-			most = Math.min(most, route.targetMs() + (long) (RetryAdvice.ANSWER_MARGIN * answer));
+			long responseMs = engineTimes(route.chooseUpstream(0)).answerMs(p.likelyOutputTokens());
+			longestMs = Math.min(longestMs, route.targetMs() + (long) (RetryAdvice.ANSWER_MARGIN * responseMs));
 		}
-		return now + most > this.shutdownAt;
+		return now + longestMs > this.shutdownAt;
 	}
 
 	/**
-	 * Returns how many requests are in progress.
+	 * Returns the number of requests in progress.
 	 * @return the number of requests
 	 */
 	public int inProgress() {
@@ -175,16 +176,16 @@
 	}
 
 	/**
-	 * Takes a request.
+	 * Handles a request.
 	 * @param request the request
-	 * @param answer the way back to its caller
-	 * @return to be run when the caller has left
+	 * @param response the response to the caller
+	 * @return to be run when the caller disconnects
 	 */
-	public Runnable handle(RelayRequest request, CallerResponse answer) {
+	public Runnable handle(RelayRequest request, CallerResponse response) {
 		this.inProgress++;
-		RequestAdmission a = new RequestAdmission(this, request, answer, this.clock.getAsLong());
-		a.start();
-		return a::callerDisconnected;
+		RequestAdmission admission = new RequestAdmission(this, request, response, this.clock.getAsLong());
+		admission.start();
+		return admission::callerDisconnected;
 	}
 
 	void requestFinished() {
@@ -192,24 +193,25 @@
 	}
 
 	/**
-	 * Says whom to ask for the newest configuration.
-	 * @param source asks the operator's store
+	 * Sets the source of new configurations.
+	 * @param source queries the operator's store
 	 */
 	public void setConfigSource(ConfigSource source) {
 		this.configSource = source;
 	}
 
 	/**
-	 * Returns a time that goes on while the machine is suspended.
-	 * @return milliseconds since some moment
+	 * Returns a monotonic time that includes the time during which the machine is
+	 * suspended.
+	 * @return milliseconds since an arbitrary point in time
 	 */
 	public long elapsedMs() {
 		return this.elapsed.at(this.clock.getAsLong(), this.wallClock.getAsLong());
 	}
 
 	/**
-	 * Reads the clocks from now on. Between two readings a time of day that is set back
-	 * could hide a suspension.
+	 * Starts sampling the clocks periodically. A wall clock that is set back between two
+	 * samples could hide a suspension.
 	 */
 	public void startClockSampling() {
 		elapsedMs();
@@ -217,22 +219,24 @@
 	}
 
 	/**
-	 * Reads the clocks no more, except when a key is proved.
+	 * Stops the periodic sampling of the clocks; they are still read when a key is
+	 * checked.
 	 */
 	public void stopClockSampling() {
 		this.cancelClockSampling.run();
 	}
 
 	/**
-	 * Takes that the configuration in force was the newest one.
-	 * @param requestedAtMs when the question was sent that showed so, by {@link #elapsedMs}
+	 * Records that the store confirmed the current configuration as the newest one.
+	 * @param requestedAtMs when the confirming request was sent, as in {@link #elapsedMs}
 	 */
 	public void configConfirmed(long requestedAtMs) {
 		this.configFreshness.proved(requestedAtMs);
 	}
 
 	/**
-	 * Returns how long ago the configuration in force surely was the newest one.
+	 * Returns the time since the current configuration was last known to be the newest
+	 * one.
 	 * @return milliseconds
 	 */
 	public long configAgeMs() {
@@ -243,7 +247,8 @@
 		this.configSource.ask(then);
 	}
 
-	// Callers come with keys: what proves them is renewed before it is too old.
+	// Refreshes the configuration while callers use keys, before the last confirmation
+	// expires.
 	void refreshConfigIfStale() {
 		if (this.configFreshness.worthRenewing(elapsedMs())) {
 			refreshConfig(() -> {
@@ -256,28 +261,29 @@
 	}
 
 	/**
-	 * Takes what a worker says of itself.
+	 * Applies the load and limit that a worker reported.
 	 * @param w the worker
-	 * @param news the news
-	 * @param sentAt when the request was sent whose answer says so, in milliseconds
+	 * @param status the reported load and limit
+	 * @param sentAt when the request was sent whose response carried the report, in
+	 * milliseconds
 	 */
-	void updateWorkerStatus(WorkerState w, WorkerNews news, long sentAt) {
+	void updateWorkerStatus(WorkerState w, WorkerNews status, long sentAt) {
 		long now = this.clock.getAsLong();
-		if (news.load() != null) {
-			w.reported(news.load(), now);
+		if (status.load() != null) {
+			w.reported(status.load(), now);
 		}
-		if (news.limit() == null) {
+		if (status.limit() == null) {
 			return;
 		}
-		NamedLimit.Sent before = w.limit().sentSince(now);
-		if (w.limit().told(news.limit(), sentAt, now)) {
+		NamedLimit.Sent previous = w.limit().sentSince(now);
+		if (w.limit().told(status.limit(), sentAt, now)) {
 			this.metrics.limitChanged();
 			this.log.write(now,
-					() -> "worker=" + w.info().id() + " limit-per-s=" + w.limit().limit() + " before: " + before);
+					() -> "worker=" + w.info().id() + " limit-per-s=" + w.limit().limit() + " previous: " + previous);
 		}
 	}
 
-	// A caller's request, or the prefill of its prompt, goes to a worker.
+	// Records that a request, or the prefill of its prompt, is sent to a worker.
 	void recordSent(WorkerState w, long now) {
 		this.workerLimits.sent(w, now);
 		if (w.limit().limit().named()) {
@@ -286,9 +292,9 @@
 	}
 
 	void onCapacityFreed(String upstream, String worker) {
-		HoldQueue q = this.reservationQueues.get(upstream);
-		if (q != null) {
-			q.freed(worker, this.clock.getAsLong());
+		HoldQueue queue = this.reservationQueues.get(upstream);
+		if (queue != null) {
+			queue.freed(worker, this.clock.getAsLong());
 		}
 	}
 
--- a/src/main/java/io/shallotspur/gateway/GatewaySettings.java
+++ b/src/main/java/io/shallotspur/gateway/GatewaySettings.java
@@ -1,27 +1,27 @@
 package io.shallotspur.gateway;
 
 /**
- * What one entry VM is told about its relaying. Immutable.
+ * Settings of the request relay of one entry VM. Immutable.
  *
- * @param vmName its name
- * @param hall where it runs
- * @param retryRatio retries of an upstream that all VMs together may send, as a part of
- * the requests for it in the window
- * @param retrySlack retries that all VMs together may send in a window beyond that
+ * @param vmName the name of the VM
+ * @param hall the hall it runs in
+ * @param retryRatio the retries that all VMs together may send to an upstream, as a
+ * fraction of its requests in the window
+ * @param retrySlack additional retries that all VMs together may send per window
  * @param retryWindowMs the window, in milliseconds
- * @param revokedKeyMs how long a key that was revoked may still be used, in milliseconds;
- * 0 for no bound
- * @param quotas how exactly customers' quotas have to be kept
+ * @param revokedKeyMs how long a revoked key may still be accepted, in milliseconds; 0
+ * for no bound
+ * @param quotas how strictly customers' quotas are enforced
  */
 public record GatewaySettings(String vmName, String hall, double retryRatio, double retrySlack, long retryWindowMs,
 		long revokedKeyMs, QuotaBounds quotas) {
 
 	/**
 	 * Creates settings without a bound for revoked keys.
-	 * @param vm its name
-	 * @param hall where it runs
-	 * @param retryRatio retries as a part of the requests
-	 * @param retrySlack retries beyond that
+	 * @param vmName the name of the VM
+	 * @param hall the hall it runs in
+	 * @param retryRatio retries as a fraction of the requests
+	 * @param retrySlack additional retries per window
 	 * @param retryWindowMs the window, in milliseconds
 	 */
 	public GatewaySettings(String vm, String hall, double retryRatio, double retrySlack, long retryWindowMs) {
@@ -29,9 +29,9 @@
 	}
 
 	/**
-	 * Returns these settings with a bound for revoked keys.
-	 * @param ms how long a key that was revoked may still be used, in milliseconds
-	 * @return settings that differ in that only
+	 * Returns a copy with a bound for revoked keys.
+	 * @param ms how long a revoked key may still be accepted, in milliseconds
+	 * @return the copy
 	 */
 	public GatewaySettings withRevokedKeyMs(long ms) {
 		return new GatewaySettings(this.vmName, this.hall, this.retryRatio, this.retrySlack, this.retryWindowMs, ms,
@@ -39,9 +39,9 @@
 	}
 
 	/**
-	 * Returns these settings with other bounds for quotas.
-	 * @param bounds how exactly customers' quotas have to be kept
-	 * @return settings that differ in that only
+	 * Returns a copy with other quota bounds.
+	 * @param bounds how strictly customers' quotas are enforced
+	 * @return the copy
 	 */
 	public GatewaySettings withQuotas(QuotaBounds bounds) {
 		return new GatewaySettings(this.vmName, this.hall, this.retryRatio, this.retrySlack, this.retryWindowMs,
--- a/src/main/java/io/shallotspur/gateway/GatewayTimer.java
+++ b/src/main/java/io/shallotspur/gateway/GatewayTimer.java
@@ -1,16 +1,16 @@
 package io.shallotspur.gateway;
 
 /**
- * Runs things later on the gateway's thread.
+ * Runs delayed tasks on the gateway's thread.
  */
 @FunctionalInterface
 public interface GatewayTimer {
 
 	/**
-	 * Runs something once.
-	 * @param delayMs after how many milliseconds
-	 * @param task what is to be run
-	 * @return cancels it when run; does nothing afterwards
+	 * Schedules a task to run once.
+	 * @param delayMs the delay in milliseconds
+	 * @param task the task
+	 * @return cancels the task when run; has no effect after the task ran
 	 */
 	Runnable schedule(long delayMs, Runnable task);
 
--- a/src/main/java/io/shallotspur/gateway/HeaderField.java
+++ b/src/main/java/io/shallotspur/gateway/HeaderField.java
@@ -1,10 +1,10 @@
 package io.shallotspur.gateway;
 
 /**
- * One header field that is relayed unchanged. Immutable.
+ * A header field that is relayed unchanged. Immutable.
  *
- * @param name the name as it was sent
- * @param value the value as it was sent
+ * @param name the name as received
+ * @param value the value as received
  */
 public record HeaderField(String name, String value) {
 
--- a/src/main/java/io/shallotspur/gateway/NextStep.java
+++ b/src/main/java/io/shallotspur/gateway/NextStep.java
@@ -1,7 +1,7 @@
 package io.shallotspur.gateway;
 
 /**
- * What follows an attempt that ended without success.
+ * The action taken after an unsuccessful attempt.
  */
 public enum NextStep {
 
@@ -11,10 +11,10 @@
 	/** Tell the caller that the request was not run. */
 	REFUSE_NOT_RUN,
 
-	/** Give the caller the worker's own failure. */
+	/** Relay the worker's own error response to the caller. */
 	RELAY_FAILURE,
 
-	/** Tell the caller that the outcome is not known. */
+	/** Tell the caller that the outcome is unknown. */
 	REPORT_UNKNOWN
 
 }
--- a/src/main/java/io/shallotspur/gateway/OverloadDetector.java
+++ b/src/main/java/io/shallotspur/gateway/OverloadDetector.java
@@ -1,30 +1,31 @@
 package io.shallotspur.gateway;
 
 /**
- * Decides whether callers wait for the processor of this VM. Not thread-safe; the present
- * time is an argument.
+ * Detects from event-loop delay whether requests wait for the processor of this VM. Not
+ * thread-safe; the current time is an argument.
  * <p>
- * All of a VM runs on one event loop, so a task that runs late by some time tells that
- * everything else on the loop waits as long. Hysteresis keeps a VM from changing what it
- * says of itself with each burst: a change is told to all VMs.
+ * All work of a VM runs on one event loop, so the delay of one task is the delay of
+ * everything else on the loop. Hysteresis keeps short bursts from changing the status,
+ * because each change is announced to all VMs.
  */
 public final class OverloadDetector {
 
-	/** How often lateness is sampled, in milliseconds. */
+	/** Sampling interval of the delay, in milliseconds. */
 	public static final long SAMPLE_INTERVAL_MS = 250;
 
-	// A relayed request passes the loop some ten times, so this lateness adds a fifth of
-	// a second to it, ms.
+	// A relayed request passes the loop about ten times, so this delay adds 200 ms to
+	// it, ms.
 	private static final double OVERLOAD_DELAY_MS = 20;
 
-	// With twice the VMs each has half the load; the lateness of a queue falls by more.
+	// Below this delay the VM may recover, ms. Doubling the number of VMs halves the
+	// load of each, and queueing delay drops by more than half.
 	private static final double RECOVERY_DELAY_MS = 4;
 
-	// The mean of the last two seconds or so: classes that are loaded, or one large
-	// collection, are over by then.
+	// Averages over about two seconds, so that class loading or a single long garbage
+	// collection does not count as overload.
 	private static final double SMOOTHING_FACTOR = 0.125;
 
-	// A VM that has room for so long will have it a while longer, ms: a burst's length.
+	// A low delay for this long is expected to last, ms: the length of a burst.
 	private static final long RECOVERY_PERIOD_MS = 10_000;
 
 	private double meanDelayMs;
@@ -34,12 +35,12 @@
 	private long lowDelaySince = Long.MIN_VALUE;
 
 	/**
-	 * Takes how late a task ran.
-	 * @param ms milliseconds after its time
-	 * @param now the present time in milliseconds
+	 * Records the delay of a task.
+	 * @param delayMs milliseconds between its scheduled and its actual start
+	 * @param now the current time in milliseconds
 	 */
-	public void recordDelay(long ms, long now) {
-		this.meanDelayMs += SMOOTHING_FACTOR * (ms - this.meanDelayMs);
+	public void recordDelay(long delayMs, long now) {
+		this.meanDelayMs += SMOOTHING_FACTOR * (delayMs - this.meanDelayMs);
 		if (this.meanDelayMs > OVERLOAD_DELAY_MS) {
 			this.overloaded = true;
 		}
@@ -56,8 +57,9 @@
 	}
 
 	/**
-	 * Tells whether callers wait.
-	 * @return {@code true} from the time that they do until it is long over
+	 * Returns whether this VM is overloaded.
+	 * @return {@code true} from the detection of overload until the delay has been low
+	 * for a whole recovery period
 	 */
 	public boolean overloaded() {
 		return this.overloaded;
--- a/src/main/java/io/shallotspur/gateway/RelayMetrics.java
+++ b/src/main/java/io/shallotspur/gateway/RelayMetrics.java
@@ -9,12 +9,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Counters and histograms of the relaying. Thread-safe, as the registry is.
+ * Counters and timers of the request relay. Thread-safe, as the registry is.
  */
 public final class RelayMetrics {
 
-	// Customers with series of their own; those that come later are counted together. A
-	// scrape of tens of thousands of series would take the VM longer than its requests.
+	// Customers with their own time series; all others share one. Scraping tens of
+	// thousands of series would cost the VM more time than its requests.
 	private static final int MAX_CUSTOMER_SERIES = 64;
 
 	private static final String OTHERS = "others";
@@ -25,7 +25,7 @@
 
 	/**
 	 * Creates the metrics of one VM.
-	 * @param registry where they are kept
+	 * @param registry the registry that holds them
 	 */
 	public RelayMetrics(MetricRegistry registry) {
 		this.registry = registry;
@@ -52,9 +52,9 @@
 		countForCustomer("refused." + reason.code(), customer);
 	}
 
-	private void countForCustomer(String what, @Nullable String customer) {
+	private void countForCustomer(String name, @Nullable String customer) {
 		if (customer != null) {
-			this.registry.counter("customer." + what + "." + seriesName(customer)).inc();
+			this.registry.counter("customer." + name + "." + seriesName(customer)).inc();
 		}
 	}
 
--- a/src/main/java/io/shallotspur/gateway/RelayRequest.java
+++ b/src/main/java/io/shallotspur/gateway/RelayRequest.java
@@ -5,20 +5,20 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One request of a caller, read whole. Immutable; the body must not be changed.
+ * A caller's request with its complete body. Immutable; the body must not be modified.
  *
- * @param id the id that the caller gave it
- * @param method the method
- * @param target path and query, as sent
- * @param host the host that the caller named
- * @param headers the fields to be relayed, without those of one connection
+ * @param id the id set by the caller
+ * @param method the HTTP method
+ * @param target path and query, as received
+ * @param host the host requested by the caller
+ * @param headers the fields to be relayed, without hop-by-hop fields
  * @param body the body; empty if there is none
- * @param callerTimeoutMs how long the caller waits from the arrival on, in milliseconds, or
- * {@link Long#MAX_VALUE} if it does not say
- * @param prompt what the request says of its prompt, or {@code null}
- * @param lastEventId the event after which a resumed stream goes on, or {@code null}
- * @param keyHash the hash of the key that the caller sent, or {@code null} if it sent
- * none, or none that can be read
+ * @param callerTimeoutMs the caller's timeout, counted from the arrival, in milliseconds,
+ * or {@link Long#MAX_VALUE} if it sends none
+ * @param prompt prompt and output lengths stated by the request, or {@code null}
+ * @param lastEventId the event after which a stream resumes, or {@code null}
+ * @param keyHash the hash of the caller's key, or {@code null} if it sent none or a
+ * malformed one
  */
 public record RelayRequest(String id, String method, String target, String host, List<HeaderField> headers, byte[] body,
 		long callerTimeoutMs, @Nullable PromptShape prompt, @Nullable String lastEventId, @Nullable String keyHash) {
--- a/src/main/java/io/shallotspur/gateway/RelayTask.java
+++ b/src/main/java/io/shallotspur/gateway/RelayTask.java
@@ -8,20 +8,20 @@
 import io.shallotspur.route.UpstreamSpec;
 
 /**
- * One request on its way: places it, judges each attempt's end and answers the caller.
- * Not thread-safe; confined to the gateway's thread.
+ * Relays one admitted request: selects workers, runs attempts, decides on retries and
+ * responds to the caller. Not thread-safe; confined to the gateway's thread.
  * <p>
- * Invariants: the caller is answered once; a request that may have run is never answered
- * as not run, and is sent again only if a second run does no harm.
+ * Invariants: the caller gets one response; a request that may have run is never reported
+ * as not run, and is sent again only if running it twice is harmless.
  */
 final class RelayTask implements Attempt.Listener, Placing.Sink {
 
-	// The worker stops by itself at the end of its time; its own answer is worth waiting
-	// for a little, ms. Answers cross a hall in a few ms.
+	// The worker enforces the deadline itself. Its own response is worth a short wait,
+	// ms: a response crosses a hall in a few ms.
 	private static final long WORKER_TIMEOUT_SLACK_MS = 60;
 
-	// With less time than this left no worker can answer, ms: the fastest answer takes
-	// two crossings and a few ms of work.
+	// With less time left no worker can respond, ms: the fastest response takes two
+	// network crossings and a few ms of work.
 	private static final long MIN_ATTEMPT_MS = 10;
 
 	private final Gateway gateway;
@@ -59,25 +59,25 @@
 
 	private boolean finished;
 
-	RelayTask(Gateway g, AdmittedRequest admitted, CallerResponse answer, long arrivedAt) {
-		this.gateway = g;
+	RelayTask(Gateway gateway, AdmittedRequest admitted, CallerResponse response, long arrivedAt) {
+		this.gateway = gateway;
 		this.admitted = admitted;
 		this.route = admitted.route();
 		this.request = admitted.request();
-		this.response = answer;
+		this.response = response;
 		this.arrivedAt = arrivedAt;
 		this.deadline = arrivedAt + Math.min(this.request.callerTimeoutMs(), this.route.timeoutMs());
-		this.upstream = this.route.chooseUpstream(g.random.next());
+		this.upstream = this.route.chooseUpstream(gateway.random.next());
 		UpstreamSpec spec = admitted.routeTable().upstream(this.upstream).orElse(null);
 		this.progress = new ResponseProgress((spec != null) ? spec.engine() : null, this.request.lastEventId());
-		this.placing = new Placing(g, admitted, this.upstream, spec, this, arrivedAt, this.deadline);
+		this.placing = new Placing(gateway, admitted, this.upstream, spec, this, arrivedAt, this.deadline);
 	}
 
 	void start(long now) {
 		this.gateway.retryBudget.firstTry(this.upstream, now);
-		long callerLeft = this.request.callerTimeoutMs() - (this.deadline - this.arrivedAt);
-		long slack = Math.min(WORKER_TIMEOUT_SLACK_MS, callerLeft);
-		this.cancelDeadline = this.gateway.timer.schedule(this.deadline + slack - now, this::onDeadline);
+		long callerSlackMs = this.request.callerTimeoutMs() - (this.deadline - this.arrivedAt);
+		long slackMs = Math.min(WORKER_TIMEOUT_SLACK_MS, callerSlackMs);
+		this.cancelDeadline = this.gateway.timer.schedule(this.deadline + slackMs - now, this::onDeadline);
 		if (this.request.prompt() != null) {
 			this.gateway.engineTimes(this.upstream).asked(this.request.prompt());
 		}
@@ -91,7 +91,7 @@
 		this.gateway.recordSent(w, now);
 		if (w.onGrace()) {
 			this.gateway.metrics.sentToVanished();
-			note("sent to vanished worker=" + w.info().id(), now);
+			note("sent to worker with expired registration worker=" + w.info().id(), now);
 		}
 		this.gateway.roster.detector(this.upstream).started(w.info().id(), now);
 		Attempt a = new Attempt(this, w, this.route.kind() == RouteKind.STREAM, this.responseStarted);
@@ -115,9 +115,9 @@
 	@Override
 	public boolean mayPrefillAgain(long now) {
 		AttemptHistory before = this.history;
-		boolean may = mayGoOnAfterPrefill(now);
-		this.history = may ? this.history : before;
-		return may;
+		boolean allowed = mayGoOnAfterPrefill(now);
+		this.history = allowed ? this.history : before;
+		return allowed;
 	}
 
 	@Override
@@ -131,8 +131,8 @@
 	}
 
 	@Override
-	public void note(String what, long now) {
-		log(now, what);
+	public void note(String text, long now) {
+		log(now, text);
 	}
 
 	@Override
@@ -156,7 +156,8 @@
 
 	@Override
 	public void onEvent(byte[] event) {
-		this.progress.recordEvent(event, this.attemptStartedAt, this.gateway.engineTimes(this.upstream), this.gateway.clock.getAsLong());
+		this.progress.recordEvent(event, this.attemptStartedAt, this.gateway.engineTimes(this.upstream),
+				this.gateway.clock.getAsLong());
 		this.response.write(event);
 	}
 
@@ -186,20 +187,20 @@
 	}
 
 	@Override
-	public void onSuccess(ResponseHead head, byte[] body, boolean inParts) {
+	public void onSuccess(ResponseHead head, byte[] body, boolean forwarded) {
 		long now = this.gateway.clock.getAsLong();
-		if (!inParts) {
+		if (!forwarded) {
 			firstByte();
 		}
 		this.gateway.metrics.answered(this.route.name(), this.admitted.customerName(), now - this.arrivedAt);
 		PromptShape p = this.request.prompt();
-		if (inParts && p != null && this.request.lastEventId() == null) {
+		if (forwarded && p != null && this.request.lastEventId() == null) {
 			this.gateway.engineTimes(this.upstream).streamed(now - this.progress.firstByteAt(), p, received());
 		}
 		log(now, "answered status=" + head.status() + timingFields());
 		endAttempt();
 		finish();
-		if (inParts) {
+		if (forwarded) {
 			this.response.complete();
 		}
 		else {
@@ -212,7 +213,7 @@
 		long now = this.gateway.clock.getAsLong();
 		this.history = this.history.with(end);
 		this.gateway.metrics.attemptEnded(end);
-		note(end, now);
+		recordFailure(end, now);
 		NextStep next = this.history.next(end, mayRetry(end, now));
 		log(now, "attempt=" + end + " seen=\"" + reason + "\" next=" + next);
 		endAttempt();
@@ -226,7 +227,7 @@
 		}
 	}
 
-	private void note(AttemptEnd end, long now) {
+	private void recordFailure(AttemptEnd end, long now) {
 		if (this.attempt == null) {
 			return;
 		}
@@ -254,8 +255,10 @@
 		if (this.deadline - now < MIN_ATTEMPT_MS || !this.placing.anyLeft(now)) {
 			return false;
 		}
-		// What never left this VM has arrived nowhere, so it takes nothing of the budget.
-		return end == AttemptEnd.NOT_SENT || this.gateway.retryBudget.tryRetry(this.upstream, this.gateway.entryVms, now);
+		// A request that never left this VM put no load on a worker and does not use the
+		// retry budget.
+		return end == AttemptEnd.NOT_SENT
+				|| this.gateway.retryBudget.tryRetry(this.upstream, this.gateway.entryVms, now);
 	}
 
 	private static RefusalReason refusalReason(AttemptEnd end) {
@@ -266,12 +269,12 @@
 		};
 	}
 
-	// Where the time went, counted from the arrival, ms.
+	// Timestamps relative to the arrival, and the longest pause between two events, ms.
 	private String timingFields() {
-		long held = Math.max(this.arrivedAt, this.placing.heldAt());
-		return " tokens=" + this.placing.tokens() + " held-ms=" + (held - this.arrivedAt) + " sent-ms="
-				+ (this.attemptStartedAt - this.arrivedAt) + " first-ms=" + (this.progress.firstByteAt() - this.arrivedAt)
-				+ " pause-ms=" + this.progress.longestPauseMs();
+		long reservedAt = Math.max(this.arrivedAt, this.placing.heldAt());
+		return " tokens=" + this.placing.tokens() + " held-ms=" + (reservedAt - this.arrivedAt) + " sent-ms="
+				+ (this.attemptStartedAt - this.arrivedAt) + " first-ms="
+				+ (this.progress.firstByteAt() - this.arrivedAt) + " pause-ms=" + this.progress.longestPauseMs();
 	}
 
 	private void relayFailure(@Nullable ResponseHead head, byte[] body, long now) {
@@ -297,17 +300,17 @@
 	}
 
 	private long retryAfterMs(RefusalReason reason, long now) {
-		double draw = this.gateway.random.next();
-		long left = this.request.callerTimeoutMs() - (now - this.arrivedAt);
+		double random = this.gateway.random.next();
+		long remainingMs = this.request.callerTimeoutMs() - (now - this.arrivedAt);
 		if (reason == RefusalReason.WORKERS_LIMITED) {
-			return RetryAdvice.afterRefillMs(this.placing.limitWaitMs(now), left, draw);
+			return RetryAdvice.afterRefillMs(this.placing.limitWaitMs(now), remainingMs, random);
 		}
-		boolean late = now > this.placing.latestStart();
-		boolean known = this.request.callerTimeoutMs() != Long.MAX_VALUE;
-		if (late && known && this.route.kind() == RouteKind.STREAM) {
-			return Math.max(1, RetryAdvice.afterLateMs(left, this.placing.answerMs(), draw));
+		boolean tooLate = now > this.placing.latestStart();
+		boolean hasTimeout = this.request.callerTimeoutMs() != Long.MAX_VALUE;
+		if (tooLate && hasTimeout && this.route.kind() == RouteKind.STREAM) {
+			return Math.max(1, RetryAdvice.afterLateMs(remainingMs, this.placing.answerMs(), random));
 		}
-		return RetryAdvice.afterMs(this.route, draw);
+		return RetryAdvice.afterMs(this.route, random);
 	}
 
 	private void onDeadline() {
@@ -332,7 +335,7 @@
 		this.response.refuse(r);
 	}
 
-	// What has not run is not charged: the caller is told to come back, and would pay
+	// A request that has not run is refunded: the caller is told to retry and would pay
 	// twice.
 	private void refundQuota(RelayRefusal r) {
 		Customer c = this.admitted.customer();
@@ -378,21 +381,21 @@
 		}
 	}
 
-	// Comes before the answer: the end of a connection that closes with its answer must
-	// not be taken for a caller who has left.
+	// Called before the response is sent: closing the connection after the response must
+	// not be taken for a caller that disconnected.
 	private void finish() {
 		this.finished = true;
 		this.cancelDeadline.run();
 		this.gateway.requestFinished();
 	}
 
-	private void log(long now, String what) {
+	private void log(long now, String text) {
 		String worker = (this.attempt != null) ? this.attempt.worker().info().id() : "none";
 		this.gateway.log.write(now,
 				() -> "id=" + this.request.id() + " route=" + this.route.name() + " upstream=" + this.upstream
 						+ " customer=" + this.admitted.customerName() + " worker=" + worker + " config="
 						+ this.admitted.routeTable().version() + " sends=" + this.history.sends() + " ms="
-						+ (now - this.arrivedAt) + " " + what);
+						+ (now - this.arrivedAt) + " " + text);
 	}
 
 }
--- a/src/main/java/io/shallotspur/gateway/RequestAdmission.java
+++ b/src/main/java/io/shallotspur/gateway/RequestAdmission.java
@@ -9,11 +9,11 @@
 import io.shallotspur.route.RouteTable;
 
 /**
- * A request between its arrival and its way to a worker: finds its route, whose it is,
- * and whether that customer may still ask for it. Not thread-safe; confined to the
- * gateway's thread.
+ * Admission of one request: finds its route, authenticates the customer and charges the
+ * quota, then starts the relay. Not thread-safe; confined to the gateway's thread.
  * <p>
- * Invariant: the request is refused or handed on once, unless its caller leaves before.
+ * Invariant: the request is either refused or handed over to a {@link RelayTask}, exactly
+ * once, unless the caller disconnects first.
  */
 final class RequestAdmission {
 
@@ -21,18 +21,20 @@
 
 	private static final int NOT_FOUND = 404;
 
-	// Until the first configuration has come, which takes a second or so
-	// after a start, ms.
+	// Retry delay before the first configuration is loaded, ms. Loading takes about a
+	// second after startup.
 	private static final long STARTUP_RETRY_MS = 500;
 
-	// The callers of a VM that leaves go to another one, which is there already, ms.
+	// Retry delay while this VM drains, ms. Short because the caller can go to another
+	// VM at once.
 	private static final long DRAINING_RETRY_MS = 50;
 
-	// The store answers in a few ms, a slow one in some hundred. A caller that waits
-	// longer for nothing but its permission would better ask another VM, ms.
+	// Upper bound of the wait for the configuration store, ms. The store normally
+	// responds within a few ms and, when slow, within some hundred; beyond that, the
+	// caller is better served by another VM.
 	private static final long MAX_CONFIG_REFRESH_MS = 500;
 
-	// The part of the latency objective that may go into it.
+	// Share of the latency objective that the wait for the store may use.
 	private static final double CONFIG_REFRESH_SHARE = 0.5;
 
 	private final Gateway gateway;
@@ -52,10 +54,10 @@
 	private Runnable cancelTimer = () -> {
 	};
 
-	RequestAdmission(Gateway g, RelayRequest request, CallerResponse answer, long arrivedAt) {
-		this.gateway = g;
+	RequestAdmission(Gateway gateway, RelayRequest request, CallerResponse response, long arrivedAt) {
+		this.gateway = gateway;
 		this.request = request;
-		this.response = answer;
+		this.response = response;
 		this.arrivedAt = arrivedAt;
 	}
 
@@ -63,8 +65,9 @@
 		route(true, this.arrivedAt);
 	}
 
-	// The store is asked once; what is known after that decides.
-	private void route(boolean mayAsk, long now) {
+	// The store is queried at most once per request; the configuration known afterwards
+	// decides.
+	private void route(boolean mayRefresh, long now) {
 		RouteTable t = this.gateway.routeTable().orElse(null);
 		if (t == null) {
 			refuse(RelayRefusal.notRun(RefusalReason.NO_CONFIGURATION, STARTUP_RETRY_MS), now);
@@ -78,29 +81,29 @@
 			refuse(RelayRefusal.notRun(RefusalReason.LEAVING, DRAINING_RETRY_MS), now);
 		}
 		else {
-			authenticate(t, r.get(), mayAsk, now);
+			authenticate(t, r.get(), mayRefresh, now);
 		}
 	}
 
-	private void authenticate(RouteTable t, Route r, boolean mayAsk, long now) {
+	private void authenticate(RouteTable t, Route r, boolean mayRefresh, long now) {
 		KeyCheck.Verdict v = KeyCheck.of(t, r, this.request.keyHash(), this.gateway.configAgeMs(),
 				this.gateway.settings.revokedKeyMs());
 		switch (v.action()) {
 			case ADMIT -> chargeQuota(t, r, v.customer(), now);
 			case DENY -> refuse(new RelayRefusal(UNAUTHORIZED, RefusalReason.UNKNOWN_KEY, 0), now);
-			case PROVE -> refreshConfig(r, mayAsk, now);
+			case PROVE -> refreshConfig(r, mayRefresh, now);
 		}
 	}
 
-	private void refreshConfig(Route r, boolean mayAsk, long now) {
-		if (!mayAsk) {
-			long after = RetryAdvice.afterMs(r, this.gateway.random.next());
-			refuse(RelayRefusal.notRun(RefusalReason.KEY_UNPROVEN, after), now);
+	private void refreshConfig(Route r, boolean mayRefresh, long now) {
+		if (!mayRefresh) {
+			long retryAfterMs = RetryAdvice.afterMs(r, this.gateway.random.next());
+			refuse(RelayRefusal.notRun(RefusalReason.KEY_UNPROVEN, retryAfterMs), now);
 			return;
 		}
 		this.awaitingConfig = true;
-		long most = Math.min(MAX_CONFIG_REFRESH_MS, Math.max(1, (long) (CONFIG_REFRESH_SHARE * r.targetMs())));
-		this.cancelTimer = this.gateway.timer.schedule(most, this::configRefreshed);
+		long timeoutMs = Math.min(MAX_CONFIG_REFRESH_MS, Math.max(1, (long) (CONFIG_REFRESH_SHARE * r.targetMs())));
+		this.cancelTimer = this.gateway.timer.schedule(timeoutMs, this::configRefreshed);
 		this.gateway.refreshConfig(this::configRefreshed);
 	}
 
@@ -115,10 +118,12 @@
 
 	private void chargeQuota(RouteTable t, Route r, @Nullable Customer c, long now) {
 		double cost = (c != null) ? quotaCost(c) : 0;
-		long wait = (c != null) ? this.gateway.quotas.take(c, cost, QuotaPart.of(this.gateway.entryVms, now), now) : 0;
-		if (wait > 0) {
-			long after = RetryAdvice.afterRefillMs(wait, this.request.callerTimeoutMs(), this.gateway.random.next());
-			refuse(new RelayRefusal(RelayRefusal.TOO_MANY, RefusalReason.OVER_QUOTA, after), c, now);
+		long refillMs = (c != null) ? this.gateway.quotas.take(c, cost, QuotaPart.of(this.gateway.entryVms, now), now)
+				: 0;
+		if (refillMs > 0) {
+			long retryAfterMs = RetryAdvice.afterRefillMs(refillMs, this.request.callerTimeoutMs(),
+					this.gateway.random.next());
+			refuse(new RelayRefusal(RelayRefusal.TOO_MANY, RefusalReason.OVER_QUOTA, retryAfterMs), c, now);
 			return;
 		}
 		if (c != null) {
@@ -135,9 +140,9 @@
 	private void relay(AdmittedRequest a, long now) {
 		this.done = true;
 		this.gateway.metrics.requestArrived(a.route().name(), a.customerName());
-		RelayTask next = new RelayTask(this.gateway, a, this.response, this.arrivedAt);
-		this.relayTask = next;
-		next.start(now);
+		RelayTask newTask = new RelayTask(this.gateway, a, this.response, this.arrivedAt);
+		this.relayTask = newTask;
+		newTask.start(now);
 	}
 
 	private void refuse(RelayRefusal refusal, long now) {
--- a/src/main/java/io/shallotspur/gateway/ResponseAuthenticity.java
+++ b/src/main/java/io/shallotspur/gateway/ResponseAuthenticity.java
@@ -1,23 +1,23 @@
 package io.shallotspur.gateway;
 
 /**
- * Whether an answer may be taken for the answer to the request it followed.
+ * Whether a response can be trusted to belong to the request it was received for.
  */
 public enum ResponseAuthenticity {
 
 	/**
-	 * It names this request and bears the worker's signature.
+	 * The response names this request and carries the worker's signature.
 	 */
 	SIGNED,
 
 	/**
-	 * It names this request, or none, and bears no signature: nobody may take it for a
-	 * success.
+	 * The response names this request or none, and is not signed. It must not be treated
+	 * as a success.
 	 */
 	UNSIGNED,
 
 	/**
-	 * It belongs to another request or was altered on the way.
+	 * The response belongs to another request or was altered in transit.
 	 */
 	MISMATCHED
 
--- a/src/main/java/io/shallotspur/gateway/ResponseHead.java
+++ b/src/main/java/io/shallotspur/gateway/ResponseHead.java
@@ -3,15 +3,16 @@
 import java.util.List;
 
 /**
- * Status and header of a worker's answer. Immutable.
+ * Status line and header of a worker's response. Immutable.
  *
  * @param status the HTTP status
- * @param headers the fields to be relayed, without those of one connection
- * @param authenticity whether the answer is the worker's answer to this request
- * @param notRun whether the worker says that it has not run the request and never will
- * @param otherIncarnation whether another incarnation has the address, so that the one that
- * was meant is gone
- * @param workerStatus what the worker says of itself
+ * @param headers the fields to be relayed, without hop-by-hop fields
+ * @param authenticity whether the response is known to be the worker's response to this
+ * request
+ * @param notRun whether the worker states that it has not run the request and never will
+ * @param otherIncarnation whether another incarnation of the worker has the address, so
+ * that the addressed one is gone
+ * @param workerStatus load and limit that the worker reported with the response
  */
 public record ResponseHead(int status, List<HeaderField> headers, ResponseAuthenticity authenticity, boolean notRun,
 		boolean otherIncarnation, WorkerNews workerStatus) {
@@ -21,14 +22,14 @@
 	private static final int MIN_REDIRECT_STATUS = 300;
 
 	/**
-	 * Creates a head; the list is copied.
+	 * Creates a response head; the list is copied.
 	 */
 	public ResponseHead {
 		headers = List.copyOf(headers);
 	}
 
 	/**
-	 * Tells whether the status is one of success.
+	 * Returns whether the status is a success.
 	 * @return {@code true} for 2xx
 	 */
 	public boolean isSuccess() {
--- a/src/main/java/io/shallotspur/gateway/ResponseProgress.java
+++ b/src/main/java/io/shallotspur/gateway/ResponseProgress.java
@@ -5,7 +5,7 @@
 import io.shallotspur.route.EngineSpec;
 
 /**
- * How far the answer to one request has come, over all its attempts. Not thread-safe;
+ * Progress of the response to one request, across all its attempts. Not thread-safe;
  * confined to the gateway's thread.
  */
 final class ResponseProgress {
@@ -19,9 +19,9 @@
 	private long firstByteAt;
 
 	/**
-	 * Creates the progress of an answer that has not begun here.
-	 * @param engine the engines, if the request is for any
-	 * @param lastEventId the event after which it is to go on, or {@code null}
+	 * Creates the progress of a response that has not started at this VM.
+	 * @param engine the engines of the upstream, or {@code null} for a plain upstream
+	 * @param lastEventId the event after which the response resumes, or {@code null}
 	 */
 	ResponseProgress(@Nullable EngineSpec engine, @Nullable String lastEventId) {
 		this.tokensPerEvent = (engine != null) ? engine.eventTokens() : 0;
@@ -41,8 +41,8 @@
 	}
 
 	/**
-	 * Returns how much of the answer its caller has got here.
-	 * @return tokens, as far as the operator says how many an event has
+	 * Returns how much of the response the caller has received from this VM.
+	 * @return tokens; 0 if the number of tokens per event is not configured
 	 */
 	int receivedTokens() {
 		return this.pace.events() * this.tokensPerEvent;
@@ -53,19 +53,20 @@
 	}
 
 	/**
-	 * Takes a whole event.
+	 * Records a complete event.
 	 * @param event the event
-	 * @param attemptAt when the attempt that it belongs to was sent, in milliseconds
-	 * @param times learn the pace
-	 * @param now the present time in milliseconds
+	 * @param attemptStartedAt when the attempt that produced it was sent, in milliseconds
+	 * @param times records the interval between events
+	 * @param now the current time in milliseconds
 	 */
-	void recordEvent(byte[] event, long attemptAt, EngineTimes times, long now) {
+	void recordEvent(byte[] event, long attemptStartedAt, EngineTimes times, long now) {
 		String id = EventSplitter.eventId(event);
 		if (!id.isEmpty()) {
 			this.lastEventId = id;
 		}
-		// A pause in which the worker was lost and another one found is not the engine's.
-		boolean sameAttempt = this.pace.latestAt() > attemptAt;
+		// An interval that spans two attempts includes the failover and says nothing
+		// about the engine's speed.
+		boolean sameAttempt = this.pace.latestAt() > attemptStartedAt;
 		long pause = this.pace.event(now);
 		if (sameAttempt) {
 			times.event(pause, this.tokensPerEvent);
--- a/src/main/java/io/shallotspur/gateway/ServingVmSelector.java
+++ b/src/main/java/io/shallotspur/gateway/ServingVmSelector.java
@@ -5,27 +5,28 @@
 import java.util.List;
 
 /**
- * Decides which of many entry VMs callers are told to use. Stateless.
+ * Selects the entry VMs that callers are directed to. Stateless.
  * <p>
- * Answers a fleet of many VMs before few workers. If callers spread over all of them,
- * each sees one request in a hundred: it knows neither which workers are full nor whose
- * turn it is, learns the pace of the engines when the day is over, and holds connections
- * to every worker. So callers go to a few VMs, and the others stand by.
+ * With many VMs and few workers, a VM must see a sufficient share of the traffic. If
+ * callers were spread over a hundred VMs, each would see one request in a hundred: it
+ * would know neither which workers are full nor which request is next, would take most of
+ * a day to learn the speed of the engines, and would keep connections to every worker.
+ * Callers are therefore directed to a few VMs, and the others are standby.
  * <p>
- * All VMs that know the same registrations name the same ones: the strongest of each
- * hall, in an order that changes only with the registrations. As many are named as it
- * takes until some have room, so a set that is too small for its load grows by what its
- * VMs say of themselves; no size is assumed. The halls take turns, so that the loss of
- * one leaves a VM that callers know.
+ * All VMs with the same view of the registrations select the same VMs: the largest of
+ * each hall, in an order that changes only with the registrations. VMs are added until
+ * enough of them are not overloaded, so the set grows with the reported load and no size
+ * is configured. VMs are taken from the halls in turn, so that callers still know a VM
+ * after the loss of a hall.
  */
 final class ServingVmSelector {
 
-	// VMs with room in each set: the loss of one leaves another that callers know
-	// already.
+	// Number of VMs that are not overloaded: if one is lost, callers already know
+	// another.
 	private static final int MIN_VMS_WITH_CAPACITY = 2;
 
-	// The strongest first; among equals, the order of the keys' hashes, so that VMs whose
-	// addresses are close, and may fail together, do not come together.
+	// Largest first, then by hash of the key, so that VMs with adjacent addresses, which
+	// may fail together, are not adjacent in the order.
 	private static final Comparator<EntryVm> ORDER = Comparator.comparingDouble(EntryVm::cores)
 		.reversed()
 		.thenComparingInt((v) -> mixedHash(v.key()))
@@ -35,15 +36,18 @@
 	}
 
 	/**
-	 * Chooses.
-	 * @param vms the VMs that take callers
-	 * @return those to be used, in the agreed order
+	 * Selects the serving VMs.
+	 * @param vms the VMs that accept callers
+	 * @return the selected VMs, in an order that all VMs agree on
 	 */
 	static List<EntryVm> select(List<EntryVm> vms) {
 		List<EntryVm> remaining = new ArrayList<>(vms.stream().sorted(ORDER).toList());
 		List<EntryVm> selected = new ArrayList<>();
-		while (!remaining.isEmpty() && selected.stream().filter((v) -> !v.overloaded()).count() < MIN_VMS_WITH_CAPACITY) {
-			EntryVm next = remaining.stream().min(Comparator.comparingLong((v) -> countInHall(selected, v.hall()))).orElseThrow();
+		while (!remaining.isEmpty()
+				&& selected.stream().filter((v) -> !v.overloaded()).count() < MIN_VMS_WITH_CAPACITY) {
+			EntryVm next = remaining.stream()
+				.min(Comparator.comparingLong((v) -> countInHall(selected, v.hall())))
+				.orElseThrow();
 			remaining.remove(next);
 			selected.add(next);
 		}
@@ -54,8 +58,8 @@
 		return l.stream().filter((v) -> v.hall().equals(hall)).count();
 	}
 
-	// Keys that differ in one character have hashes that differ little; the product of
-	// the finalizer of a multiplicative hash spreads them.
+	// Keys that differ in one character have similar hash codes; multiplicative hashing
+	// spreads them.
 	private static int mixedHash(String key) {
 		int h = key.hashCode() * 0x9E3779B9;
 		return h ^ (h >>> 15);
--- a/src/main/java/io/shallotspur/gateway/WorkerPort.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerPort.java
@@ -1,43 +1,43 @@
 package io.shallotspur.gateway;
 
 /**
- * Calls to workers. Methods return at once and are called on the gateway's thread.
+ * Client of the workers. Methods do not block and are called on the gateway's thread.
  */
 public interface WorkerPort {
 
 	/**
-	 * Has a request run.
+	 * Runs a request.
 	 * @param call the call
-	 * @param listener hears the answer
-	 * @return the call under way
+	 * @param listener receives the response
+	 * @return the call in progress
 	 */
 	Exchange run(WorkerCall call, ExchangeListener listener);
 
 	/**
-	 * Has only the prompt of a request prefilled.
+	 * Prefills the prompt of a request without generating tokens.
 	 * @param call the call
-	 * @param listener hears the result
-	 * @return the call under way
+	 * @param listener receives the result
+	 * @return the call in progress
 	 */
 	Exchange prefill(WorkerCall call, PrefillListener listener);
 
 	/**
-	 * Frees a KV cache that will not be fetched.
+	 * Releases a KV cache that will not be fetched.
 	 * @param source the KV cache
 	 */
 	void releaseKvCache(KvSource source);
 
 	/**
-	 * Reserves a place and memory at a worker.
+	 * Reserves a slot and memory at a worker.
 	 * @param worker the worker
 	 * @param tokens the memory, in tokens
 	 * @param ttlMs how long the reservation lasts, in milliseconds
-	 * @param listener hears the result
+	 * @param listener receives the result
 	 */
 	void reserve(WorkerInfo worker, int tokens, long ttlMs, HoldListener listener);
 
 	/**
-	 * Gives a reservation back that will not be used.
+	 * Cancels a reservation that will not be used.
 	 * @param worker the worker
 	 * @param reservation the reservation
 	 */
--- a/src/main/java/io/shallotspur/gateway/package-info.java
+++ b/src/main/java/io/shallotspur/gateway/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Relays callers' requests to the workers of an upstream: routing, placement, attempts,
- * retries and streams. All state of one entry VM's relaying lives here and is confined to
- * one thread; what the outside looks like is behind {@link WorkerPort} and
- * {@link CallerResponse}.
+ * Relays callers' requests to the workers of an upstream: routing, worker selection,
+ * attempts, retries and streams. All relay state of one entry VM is in this package and
+ * is confined to one thread; {@link WorkerPort} and {@link CallerResponse} are the
+ * interfaces to the outside.
  */
 @NullMarked
 package io.shallotspur.gateway;
--- a/src/test/java/io/shallotspur/gateway/FakeCaller.java
+++ b/src/test/java/io/shallotspur/gateway/FakeCaller.java
@@ -5,7 +5,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A caller that notes what it is told.
+ * Records the response that a caller receives.
  */
 final class FakeCaller implements CallerResponse {
 
--- a/src/test/java/io/shallotspur/gateway/FakeWorkers.java
+++ b/src/test/java/io/shallotspur/gateway/FakeWorkers.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * Workers whose answers the test gives by hand.
+ * Workers that record all calls and respond when the test says so.
  */
 final class FakeWorkers implements WorkerPort {
 
@@ -71,22 +71,25 @@
 		}
 
 		void respondHead(int status) {
-			this.listener.onHead(new ResponseHead(status, List.of(), ResponseAuthenticity.SIGNED, false, false, WorkerNews.NONE));
+			this.listener.onHead(
+					new ResponseHead(status, List.of(), ResponseAuthenticity.SIGNED, false, false, WorkerNews.NONE));
 		}
 
 		void respondWithLimit(WorkerLimit limit) {
-			this.listener
-				.onHead(new ResponseHead(200, List.of(), ResponseAuthenticity.SIGNED, false, false, new WorkerNews(null, limit)));
+			this.listener.onHead(new ResponseHead(200, List.of(), ResponseAuthenticity.SIGNED, false, false,
+					new WorkerNews(null, limit)));
 			this.listener.onBytes("fine".getBytes());
 			this.listener.onEnd();
 		}
 
 		void rejectNotRun() {
-			this.listener.onHead(new ResponseHead(503, List.of(), ResponseAuthenticity.UNSIGNED, true, false, WorkerNews.NONE));
+			this.listener
+				.onHead(new ResponseHead(503, List.of(), ResponseAuthenticity.UNSIGNED, true, false, WorkerNews.NONE));
 		}
 
 		void rejectReplaced() {
-			this.listener.onHead(new ResponseHead(421, List.of(), ResponseAuthenticity.UNSIGNED, true, true, WorkerNews.NONE));
+			this.listener
+				.onHead(new ResponseHead(421, List.of(), ResponseAuthenticity.UNSIGNED, true, true, WorkerNews.NONE));
 		}
 
 		void resetConnection() {
--- a/src/test/java/io/shallotspur/gateway/GatewayFixture.java
+++ b/src/test/java/io/shallotspur/gateway/GatewayFixture.java
@@ -20,9 +20,9 @@
 import io.shallotspur.route.UpstreamSpec;
 
 /**
- * A gateway with hand-driven workers, callers and time. Routes: {@code /safe/},
- * {@code /unsafe/} and {@code /open/} (needs no key) to the plain upstream,
- * {@code /once/} (one attempt) and {@code /resume/} (two, resumable) to the model
+ * A gateway with fake workers, fake callers and manual time. Routes: {@code /safe/},
+ * {@code /unsafe/} and {@code /open/} (no key required) to the plain upstream,
+ * {@code /once/} (one attempt) and {@code /resume/} (two attempts, resumable) to the model
  * upstream.
  */
 final class GatewayFixture {
@@ -37,7 +37,7 @@
 
 	final MetricRegistry metrics = new MetricRegistry();
 
-	// By how much the time of day has moved against the steady clock, ms.
+	// Offset of the wall clock from the monotonic clock, ms.
 	long wallClockOffsetMs;
 
 	final Gateway gateway;
@@ -55,8 +55,9 @@
 	GatewayFixture(long revokedKeyMs, DoubleSupplier random) {
 		this.gateway = new Gateway(
 				new GatewaySettings("vm-1", "hall-a", 0.2, 50, 10_000).withRevokedKeyMs(revokedKeyMs),
-				new GatewayPorts(this.workers, this.timer, this.timer::now, () -> this.timer.now() + this.wallClockOffsetMs,
-						random, new DecisionLog(0), new RelayMetrics(this.metrics)));
+				new GatewayPorts(this.workers, this.timer, this.timer::now,
+						() -> this.timer.now() + this.wallClockOffsetMs, random, new DecisionLog(0),
+						new RelayMetrics(this.metrics)));
 	}
 
 	GatewayFixture configured() {
--- a/src/test/java/io/shallotspur/gateway/ManualTimer.java
+++ b/src/test/java/io/shallotspur/gateway/ManualTimer.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /**
- * A timer whose time the test moves.
+ * A timer whose time is advanced by the test.
  */
 public final class ManualTimer implements GatewayTimer {
 
@@ -14,7 +14,7 @@
 	private long now = 1_000_000;
 
 	/**
-	 * Returns the present time.
+	 * Returns the current time.
 	 * @return milliseconds
 	 */
 	public long now() {
@@ -29,8 +29,8 @@
 	}
 
 	/**
-	 * Moves the time on and runs what becomes due.
-	 * @param ms by how many milliseconds
+	 * Advances the time and runs the tasks that become due.
+	 * @param ms the number of milliseconds
 	 */
 	public void advance(long ms) {
 		long end = this.now + ms;
--- a/src/test/java/io/shallotspur/gateway/NopWorkers.java
+++ b/src/test/java/io/shallotspur/gateway/NopWorkers.java
@@ -1,7 +1,7 @@
 package io.shallotspur.gateway;
 
 /**
- * Workers that never answer.
+ * Workers that never respond.
  */
 public class NopWorkers implements WorkerPort {
 
--- a/src/test/java/io/shallotspur/gateway/OverloadDetectorTests.java
+++ b/src/test/java/io/shallotspur/gateway/OverloadDetectorTests.java
@@ -8,42 +8,42 @@
  */
 class OverloadDetectorTests {
 
-	private final OverloadDetector load = new OverloadDetector();
+	private final OverloadDetector detector = new OverloadDetector();
 
 	private long now;
 
-	private void late(int samples, long ms) {
+	private void recordDelays(int samples, long ms) {
 		for (int i = 0; i < samples; i++) {
 			this.now += OverloadDetector.SAMPLE_INTERVAL_MS;
-			this.load.recordDelay(ms, this.now);
+			this.detector.recordDelay(ms, this.now);
 		}
 	}
 
-	// More callers than the processor bears: each step of each request runs late.
+	// The detector exceeds the processor's capacity: each step of each request runs recordDelays.
 	@Test
-	void isCrowdedWhileTasksRunLate() {
-		late(12, 40);
-		Assertions.assertThat(this.load.overloaded()).isTrue();
+	void isOverloadedWhileTasksRunLate() {
+		recordDelays(12, 40);
+		Assertions.assertThat(this.detector.overloaded()).isTrue();
 	}
 
-	// A collection of garbage, or classes that are loaded, stop everything once. Said to
-	// all VMs, it would send callers elsewhere when it is long over.
+	// A garbage collection pause or class loading stops everything once. Announced to
+	// all VMs, it would redirect callers long after it ended.
 	@Test
-	void isNotCrowdedByOnePause() {
-		late(1, 120);
-		late(5, 0);
-		Assertions.assertThat(this.load.overloaded()).isFalse();
+	void isNotOverloadedAfterOnePause() {
+		recordDelays(1, 120);
+		recordDelays(5, 0);
+		Assertions.assertThat(this.detector.overloaded()).isFalse();
 	}
 
-	// Other VMs have taken half of the callers. Said to have room at once, this one would
-	// get them all back and be crowded again.
+	// Other VMs have taken half of the callers. If this VM reported recovery at once,
+	// they would all return and overload it again.
 	@Test
-	void hasRoomOnlyAfterAWhile() {
-		late(20, 40);
-		late(40, 0);
-		Assertions.assertThat(this.load.overloaded()).isTrue();
-		late(40, 0);
-		Assertions.assertThat(this.load.overloaded()).isFalse();
+	void recoversOnlyAfterTheRecoveryPeriod() {
+		recordDelays(20, 40);
+		recordDelays(40, 0);
+		Assertions.assertThat(this.detector.overloaded()).isTrue();
+		recordDelays(40, 0);
+		Assertions.assertThat(this.detector.overloaded()).isFalse();
 	}
 
 }
--- a/src/test/java/io/shallotspur/gateway/RelayTests.java
+++ b/src/test/java/io/shallotspur/gateway/RelayTests.java
@@ -8,14 +8,14 @@
 import io.shallotspur.gateway.GatewayFixture.Call;
 
 /**
- * Tests of how requests are relayed, with workers and time moved by hand.
+ * Tests of relaying requests, with fake workers and manual time.
  */
 class RelayTests {
 
 	private final GatewayFixture f = new GatewayFixture().configured().addPlainWorkers(3);
 
 	@Test
-	void answersWithWhatTheWorkerSaid() {
+	void relaysTheWorkersResponse() {
 		Call c = this.f.call("safe");
 		this.f.workers.lastRun().respond(200, "fine");
 		Assertions.assertThat(c.caller().status).isEqualTo(200);
@@ -24,20 +24,20 @@
 	}
 
 	@Test
-	void refusesAsNotRunWhileNoConfigurationIsKnown() {
+	void refusesAsNotRunBeforeTheFirstConfiguration() {
 		GatewayFixture g = new GatewayFixture();
 		Assertions.assertThat(g.call("safe").caller().status).isEqualTo(503);
 	}
 
 	@Test
-	void unknownPathIsNotFound() {
+	void respondsNotFoundForAnUnknownPath() {
 		Assertions.assertThat(this.f.call("other").caller().status).isEqualTo(404);
 	}
 
-	// A worker fails one call in a few. A caller of a route that may be repeated sees the
-	// error unless another worker is asked.
+	// A worker fails some of its calls. On a route that allows repetition, the caller
+	// sees the error unless the request is retried at another worker.
 	@Test
-	void repeatsASafeRequestElsewhereAfterAFailure() {
+	void retriesASafeRequestAtAnotherWorker() {
 		Call c = this.f.call("safe");
 		String first = this.f.workers.lastRun().call.worker().id();
 		this.f.workers.lastRun().respond(500, "bad");
@@ -47,7 +47,7 @@
 	}
 
 	@Test
-	void givesTheWorkersFailureWhenAttemptsAreUsedUp() {
+	void relaysTheWorkersErrorAfterTheLastAttempt() {
 		Call c = this.f.call("safe");
 		this.f.workers.lastRun().respond(500, "bad");
 		this.f.workers.lastRun().respond(500, "worse");
@@ -56,10 +56,10 @@
 		Assertions.assertThat(this.f.workers.runs).hasSize(2);
 	}
 
-	// The connection to a worker is reset after a key request was sent. Sent again, the
-	// guest gets two live keys; told "not run", the kiosk sends it again.
+	// The connection is reset after a request to issue a key was sent. Retrying it gives
+	// the guest two valid keys; reporting it as not run makes the client send it again.
 	@Test
-	void neverRepeatsAnUnsafeRequestThatMayHaveRun() {
+	void neverRetriesAnUnsafeRequestThatMayHaveRun() {
 		Call c = this.f.call("unsafe");
 		this.f.workers.lastRun().resetConnection();
 		Assertions.assertThat(this.f.workers.runs).hasSize(1);
@@ -67,7 +67,7 @@
 	}
 
 	@Test
-	void repeatsAnUnsafeRequestThatSurelyHasNotRun() {
+	void retriesAnUnsafeRequestThatHasNotRun() {
 		Call c = this.f.call("unsafe");
 		this.f.workers.lastRun().rejectNotRun();
 		this.f.workers.lastRun().respond(200, "fine");
@@ -75,7 +75,7 @@
 	}
 
 	@Test
-	void refusesWithAdviceWhenEveryWorkerIsFull() {
+	void refusesWithARetryDelayWhenAllWorkersAreFull() {
 		Call c = this.f.call("unsafe");
 		this.f.workers.lastRun().rejectNotRun();
 		this.f.workers.lastRun().rejectNotRun();
@@ -83,10 +83,10 @@
 		Assertions.assertThat(c.caller().refusal.retryAfterMs()).isPositive();
 	}
 
-	// No connection can be made to workers that are cut off. Nothing was sent, so that
-	// any number of others may be asked.
+	// No connection can be made to workers that are cut off. Nothing was sent, so any
+	// number of other workers may be tried.
 	@Test
-	void aConnectionThatWasNotMadeIsNoAttempt() {
+	void aFailedConnectionDoesNotCountAsAnAttempt() {
 		Call c = this.f.call("unsafe");
 		this.f.workers.lastRun().refuseConnection();
 		this.f.workers.lastRun().refuseConnection();
@@ -94,10 +94,10 @@
 		Assertions.assertThat(c.caller().status).isEqualTo(200);
 	}
 
-	// A late answer to an earlier request comes where this one's is due. Passed on, a
-	// caller reads another customer's status.
+	// A late response to an earlier request arrives in place of this one's. If it were
+	// relayed, the caller would see another customer's status.
 	@Test
-	void neverPassesOnAnAnswerToAnotherRequest() {
+	void neverRelaysTheResponseToAnotherRequest() {
 		Call c = this.f.call("unsafe");
 		this.f.workers.lastRun().listener
 			.onHead(new ResponseHead(200, List.of(), ResponseAuthenticity.MISMATCHED, false, false, WorkerNews.NONE));
@@ -106,7 +106,7 @@
 	}
 
 	@Test
-	void neverPassesOnAnUnsignedSuccess() {
+	void neverRelaysAnUnsignedSuccess() {
 		Call c = this.f.call("unsafe");
 		this.f.workers.lastRun().listener
 			.onHead(new ResponseHead(200, List.of(), ResponseAuthenticity.UNSIGNED, false, false, WorkerNews.NONE));
@@ -114,18 +114,18 @@
 	}
 
 	@Test
-	void stopsTheWorkerWhenTheCallerLeaves() {
+	void cancelsTheCallWhenTheCallerDisconnects() {
 		Call c = this.f.call("safe");
 		c.disconnect().run();
 		Assertions.assertThat(this.f.workers.lastRun().cancelled).isTrue();
 		Assertions.assertThat(this.f.gateway.inProgress()).isZero();
 	}
 
-	// The connection closes with its answer, and the close is told while the answer is
-	// being written. It was counted as a caller who had left, and ended the request
-	// twice.
+	// The connection closes with its response, and the close is reported while the
+	// response is being written. It was counted as a caller disconnect and ended the
+	// request twice.
 	@Test
-	void aConnectionThatClosesWithItsAnswerIsNoCallerWhoLeft() {
+	void closingAfterTheResponseIsNotACallerDisconnect() {
 		Call c = this.f.call("safe");
 		this.f.workers.lastRun().respond(200, "fine");
 		c.disconnect().run();
@@ -133,10 +133,10 @@
 		Assertions.assertThat(this.f.metrics.counter("relay.caller-gone").getCount()).isZero();
 	}
 
-	// A worker goes silent with a request. The caller must hear so when the route's time
-	// is up, and the worker must not go on.
+	// A worker stops responding. The caller must get a timeout when the route's timeout
+	// expires, and the call must be cancelled.
 	@Test
-	void reportsATimeoutOnTime() {
+	void reportsATimeoutAtTheDeadline() {
 		Call c = this.f.call("safe");
 		this.f.timer.advance(870);
 		Assertions.assertThat(c.caller().status).isEqualTo(504);
@@ -144,15 +144,15 @@
 	}
 
 	@Test
-	void givesTheWorkerTheTimeThatIsLeft() {
+	void passesTheRemainingTimeToTheWorker() {
 		this.f.call("safe", 500, null);
 		Assertions.assertThat(this.f.workers.lastRun().call.timeoutMs()).isEqualTo(500);
 	}
 
-	// Workers that lose every request would draw a second send for each of them; the
-	// workers that are left drown in the repetitions.
+	// If workers lose every request, each one would be retried and the retries would
+	// overload the remaining workers.
 	@Test
-	void keepsToTheRetryBudget() {
+	void staysWithinTheRetryBudget() {
 		for (int i = 0; i < 200; i++) {
 			this.f.call("safe");
 			int n = this.f.workers.runs.size();
@@ -161,12 +161,13 @@
 				this.f.workers.lastRun().respond(500, "");
 			}
 		}
-		// A fifth of 200 and a share of the slack of 50 for one VM and one unheard of.
+		// A fifth of 200, plus this VM's share of the slack of 50, which allows for one
+		// unknown VM.
 		Assertions.assertThat(this.f.workers.runs.size() - 200).isBetween(40, 65);
 	}
 
 	@Test
-	void leavesAWorkerThatIsLeavingAlone() {
+	void sendsNothingToADrainingWorker() {
 		for (String id : List.of("p1", "p2")) {
 			this.f.gateway.roster()
 				.seen(new WorkerInfo(id, "plain", "10.0.0.9", 80, "hall-a", 6, WorkerStage.PLAIN, true, 0, 0),
@@ -177,37 +178,37 @@
 	}
 
 	@Test
-	void aNewerConfigurationIsNeverReplacedByAnOlderOne() {
+	void ignoresAnOlderConfiguration() {
 		Assertions.assertThat(this.f.gateway.configure(GatewayFixture.table(5))).isTrue();
 		Assertions.assertThat(this.f.gateway.configure(GatewayFixture.table(4))).isFalse();
 		Assertions.assertThat(this.f.gateway.routeTable().orElseThrow().version()).isEqualTo(5);
 	}
 
-	// A worker crashed and another incarnation answers at its address, but the registry
-	// still has the old entry for seconds. Each request sent there comes back unrun,
-	// and a route with one attempt refuses its callers although the other workers are
-	// free.
+	// A worker crashed and another incarnation responds at its address, while the
+	// registry still has the old entry for seconds. Each request sent there is rejected
+	// as not run, and a route with one attempt refuses its callers although other
+	// workers are free.
 	@Test
-	void aReplacedWorkerGetsNothingMore() {
+	void sendsNothingToAReplacedWorker() {
 		this.f.call("unsafe");
-		String gone = this.f.workers.lastRun().call.worker().id();
+		String replaced = this.f.workers.lastRun().call.worker().id();
 		this.f.workers.lastRun().rejectReplaced();
 		for (int i = 0; i < 20; i++) {
 			this.f.call("safe");
-			Assertions.assertThat(this.f.workers.lastRun().call.worker().id()).isNotEqualTo(gone);
+			Assertions.assertThat(this.f.workers.lastRun().call.worker().id()).isNotEqualTo(replaced);
 		}
 	}
 
-	// A worker is dark: no connection is made. Each request tried there first loses the
-	// time of a connection that is never made.
+	// No connection can be made to a worker. Each request tried there first loses the
+	// time of the connection attempt.
 	@Test
-	void aWorkerThatTakesNoConnectionIsLeftAloneForAWhile() {
+	void skipsAnUnreachableWorkerTemporarily() {
 		this.f.call("unsafe");
-		String dark = this.f.workers.lastRun().call.worker().id();
+		String unreachable = this.f.workers.lastRun().call.worker().id();
 		this.f.workers.lastRun().refuseConnection();
 		for (int i = 0; i < 20; i++) {
 			this.f.call("safe");
-			Assertions.assertThat(this.f.workers.lastRun().call.worker().id()).isNotEqualTo(dark);
+			Assertions.assertThat(this.f.workers.lastRun().call.worker().id()).isNotEqualTo(unreachable);
 		}
 	}
 
--- a/src/test/java/io/shallotspur/gateway/ServingVmSelectorTests.java
+++ b/src/test/java/io/shallotspur/gateway/ServingVmSelectorTests.java
@@ -13,18 +13,19 @@
  */
 class ServingVmSelectorTests {
 
-	private static EntryVm vm(String key, double cores, boolean crowded) {
-		return new EntryVm(key, key, "region-1", "hall-a", cores, crowded);
+	private static EntryVm vm(String key, double cores, boolean overloaded) {
+		return new EntryVm(key, key, "region-1", "hall-a", cores, overloaded);
 	}
 
 	private static List<String> keys(List<EntryVm> l) {
 		return ServingVmSelector.select(l).stream().map(EntryVm::key).toList();
 	}
 
-	// A hundred VMs serve forty requests a second. Spread over all of them, no VM sees a
-	// second request while its first one waits, and callers get places by luck.
+	// A hundred VMs serve forty requests a second. If callers were spread over all of
+	// them, no VM would see a second request while its first one waits, and slots would
+	// be assigned at random.
 	@Test
-	void namesAFewOfManyVms() {
+	void selectsAFewOfManyVms() {
 		List<EntryVm> l = new ArrayList<>();
 		for (int i = 0; i < 100; i++) {
 			l.add(vm("vm-" + i, 0.4, false));
@@ -34,10 +35,10 @@
 		Assertions.assertThat(keys(l)).containsExactlyInAnyOrder("strong-1", "strong-2");
 	}
 
-	// VMs hear of registrations in different orders. If each named others, callers would
-	// be spread over many again.
+	// VMs receive registrations in different orders. If each selected different VMs,
+	// callers would be spread over many again.
 	@Test
-	void theOrderInWhichRegistrationsComeDoesNotMatter() {
+	void selectionIsIndependentOfRegistrationOrder() {
 		List<EntryVm> l = new ArrayList<>();
 		for (int i = 0; i < 50; i++) {
 			l.add(vm("vm-" + i, 1, i % 5 == 0));
@@ -47,10 +48,10 @@
 		Assertions.assertThat(keys(l)).isEqualTo(first);
 	}
 
-	// The load is more than two VMs bear: callers wait for their processors although
-	// others stand idle.
+	// The load exceeds the capacity of two VMs: requests wait for their processors while
+	// other VMs are idle.
 	@Test
-	void growsUntilSomeHaveRoom() {
+	void addsVmsUntilSomeAreNotOverloaded() {
 		List<EntryVm> l = new ArrayList<>();
 		for (int i = 0; i < 4; i++) {
 			l.add(vm("strong-" + i, 2, true));
@@ -62,7 +63,7 @@
 	}
 
 	@Test
-	void namesAllIfAllAreCrowded() {
+	void selectsAllIfAllAreOverloaded() {
 		Assertions.assertThat(keys(List.of(vm("a", 1, true), vm("b", 1, true), vm("c", 1, true)))).hasSize(3);
 	}
 
--- a/src/test/java/io/shallotspur/gateway/StreamRelayTests.java
+++ b/src/test/java/io/shallotspur/gateway/StreamRelayTests.java
@@ -7,27 +7,27 @@
 import io.shallotspur.gateway.GatewayFixture.Call;
 
 /**
- * Tests of model requests: reservation, prefill, streams and their resumption.
+ * Tests of model requests: reservation, prefill, streaming and resumption.
  */
 class StreamRelayTests {
 
 	private final GatewayFixture f = new GatewayFixture().configured();
 
 	@BeforeEach
-	void engines() {
+	void addDecodeWorkers() {
 		this.f.addWorker("d1", "llm", WorkerStage.DECODE);
 		this.f.addWorker("d2", "llm", WorkerStage.DECODE);
 	}
 
-	private Call running(String route) {
+	private Call startStream(String route) {
 		Call c = this.f.callWithPrompt(route, 100);
 		this.f.workers.reservations.get(this.f.workers.reservations.size() - 1).listener().onHeld("h");
 		return c;
 	}
 
 	@Test
-	void relaysWholeEvents() {
-		Call c = running("once");
+	void relaysCompleteEventsOnly() {
+		Call c = startStream("once");
 		FakeWorkers.Run r = this.f.workers.lastRun();
 		r.respondHead(200);
 		r.sendEvents("id: 1\nda");
@@ -40,11 +40,11 @@
 		Assertions.assertThat(c.caller().completed).isTrue();
 	}
 
-	// A worker dies in the middle of an event of a stream that must not run twice. An end
-	// that looks complete would hand the clerk half a summary.
+	// A worker fails in the middle of an event of a stream that must not run twice. If
+	// the stream seemed complete, the caller would take half a summary for the whole.
 	@Test
-	void breaksOffAStreamThatCannotGoOn() {
-		Call c = running("once");
+	void abortsAStreamThatCannotResume() {
+		Call c = startStream("once");
 		this.f.workers.lastRun().respondHead(200);
 		this.f.workers.lastRun().sendEvents(GatewayFixture.EVENTS + "id: 3\nda");
 		this.f.workers.lastRun().resetConnection();
@@ -54,11 +54,11 @@
 		Assertions.assertThat(this.f.workers.runs).hasSize(1);
 	}
 
-	// The same, where the route allows going on: another worker continues after the last
-	// whole event, and the caller notices nothing.
+	// As above, on a route that allows resumption: another worker continues after the
+	// last complete event, and the caller notices nothing.
 	@Test
-	void resumesAStreamAfterItsLastWholeEvent() {
-		Call c = running("resume");
+	void resumesAStreamAfterItsLastCompleteEvent() {
+		Call c = startStream("resume");
 		this.f.workers.lastRun().respondHead(200);
 		this.f.workers.lastRun().sendEvents(GatewayFixture.EVENTS + "id: 3\nda");
 		this.f.workers.lastRun().resetConnection();
@@ -73,12 +73,12 @@
 		Assertions.assertThat(c.caller().responseCount).isEqualTo(1);
 	}
 
-	// The worker of a long answer dies some seconds after its caller came, and the others
-	// are full for a moment. The caller waits for the next event as long as it would have
-	// waited for the first; given up at once, it would be left with half an answer.
+	// The worker of a long response fails some seconds after the request arrived, and
+	// all others are full for a moment. The wait to resume may be as long as the initial
+	// wait; giving up at once would leave the caller with half a response.
 	@Test
-	void waitsForAPlaceToGoOnAsLongAsForTheFirst() {
-		Call c = running("resume");
+	void waitsToResumeAsLongAsForTheFirstAttempt() {
+		Call c = startStream("resume");
 		this.f.workers.lastRun().respondHead(200);
 		this.f.workers.lastRun().sendEvents(GatewayFixture.EVENTS);
 		this.f.timer.advance(5_000);
@@ -90,11 +90,11 @@
 		Assertions.assertThat(this.f.workers.lastRun().call.lastEventId()).isEqualTo("2");
 	}
 
-	// An answer without a length ends in the middle of an event with a clean close. It
-	// must not pass for a whole one.
+	// A response without a length is closed cleanly in the middle of an event. It must
+	// not be treated as complete.
 	@Test
-	void aCleanCloseWithinAnEventIsNoEnd() {
-		Call c = running("once");
+	void abortsOnACleanCloseWithinAnEvent() {
+		Call c = startStream("once");
 		this.f.workers.lastRun().respondHead(200);
 		this.f.workers.lastRun().sendEvents(GatewayFixture.EVENTS + "id: 3\n");
 		this.f.workers.lastRun().listener.onEnd();
@@ -102,7 +102,7 @@
 	}
 
 	@Test
-	void prefillsLongPromptsApart() {
+	void prefillsLongPromptsAtAPrefillWorker() {
 		this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
 		Call c = this.f.callWithPrompt("once", 3_000);
 		this.f.workers.reservations.get(0).listener().onHeld("h1");
@@ -116,10 +116,10 @@
 		Assertions.assertThat(c.caller().completed).isTrue();
 	}
 
-	// The caller leaves while its prompt is prefilled. The place at the decode worker and
-	// the KV cache that still comes would stay held for nobody.
+	// The caller disconnects during the prefill. The reservation at the decode worker
+	// and the KV cache that is completed later would stay allocated.
 	@Test
-	void givesBackWhatACallerWhoLeftHeld() {
+	void releasesResourcesWhenTheCallerDisconnects() {
 		this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
 		Call c = this.f.callWithPrompt("once", 3_000);
 		this.f.workers.reservations.get(0).listener().onHeld("h1");
@@ -131,9 +131,9 @@
 		Assertions.assertThat(this.f.workers.runs).isEmpty();
 	}
 
-	// The caller leaves while the reservation is on its way.
+	// The caller disconnects before the reservation is granted.
 	@Test
-	void givesBackAReservationThatComesTooLate() {
+	void cancelsAReservationGrantedAfterTheDisconnect() {
 		Call c = this.f.callWithPrompt("once", 3_000);
 		c.disconnect().run();
 		this.f.workers.reservations.get(0).listener().onHeld("h1");
@@ -141,10 +141,10 @@
 		Assertions.assertThat(this.f.workers.runs).isEmpty();
 	}
 
-	// A prefill worker goes dark. The request must reach its decode worker while its
-	// answer can still be on time.
+	// A prefill worker stops responding. The request must reach its decode worker early
+	// enough to meet its objective.
 	@Test
-	void prefillsAtTheDecodeWorkerWhenAPrefillDoesNotAnswer() {
+	void prefillsAtTheDecodeWorkerAfterAPrefillTimeout() {
 		this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
 		this.f.callWithPrompt("once", 3_000);
 		this.f.workers.reservations.get(0).listener().onHeld("h1");
@@ -153,7 +153,7 @@
 		Assertions.assertThat(this.f.workers.lastRun().call.reservation()).isEqualTo("h1");
 	}
 
-	// A refused prefill counts as an attempt; a route with one attempt has none left.
+	// A refused prefill counts as an attempt, so a route with one attempt has none left.
 	@Test
 	void aRefusedPrefillUsesUpTheOnlyAttempt() {
 		this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
@@ -165,12 +165,12 @@
 		Assertions.assertThat(this.f.workers.runs).isEmpty();
 	}
 
-	// A worker crashes behind a cut and starts again under its id. The connection to it
-	// stays silent, so without the news from the registry the caller would wait for its
-	// deadline.
+	// A worker crashes behind a network partition and restarts with the same id. Its
+	// connection stays silent, so without the registry update the caller would wait
+	// until its deadline.
 	@Test
-	void goesOnElsewhereWhenTheWorkerHasStartedAgain() {
-		Call c = running("resume");
+	void resumesAtAnotherWorkerAfterAWorkerRestart() {
+		Call c = startStream("resume");
 		FakeWorkers.Run first = this.f.workers.lastRun();
 		first.respondHead(200);
 		first.sendEvents(GatewayFixture.EVENTS);
@@ -181,20 +181,20 @@
 		Assertions.assertThat(c.caller().aborted).isFalse();
 	}
 
-	// The same for a stream that must not run twice: its caller is told at once that the
-	// outcome is not known.
+	// As above, for a stream that must not run twice: its caller is told at once that
+	// the outcome is unknown.
 	@Test
-	void endsWhatMayHaveRunWhenTheWorkerHasStartedAgain() {
-		Call c = running("once");
+	void reportsUnknownOutcomeAfterAWorkerRestart() {
+		Call c = startStream("once");
 		this.f.restart(this.f.workers.lastRun().call.worker());
 		Assertions.assertThat(c.caller().status).isEqualTo(502);
 		Assertions.assertThat(this.f.workers.runs).hasSize(1);
 	}
 
-	// A KV cache waits at a prefill worker that starts again while its decode worker is
-	// being asked. The handle may name another prompt by now: it must not be offered.
+	// A prefill worker restarts after it was asked to prefill. Its handle may refer to
+	// another prompt by now and must not be passed to the decode worker.
 	@Test
-	void neverOffersAHandleFromBeforeARestart() {
+	void neverUsesAKvHandleFromBeforeARestart() {
 		WorkerInfo f1 = this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
 		this.f.callWithPrompt("once", 3_000);
 		this.f.workers.reservations.get(0).listener().onHeld("h");
@@ -205,10 +205,10 @@
 		Assertions.assertThat(this.f.workers.releasedHandles).containsExactly("kv-old");
 	}
 
-	// The decode worker starts again while the prompt is read elsewhere. The place that
-	// was reserved there went with its memory; another one is reserved.
+	// The decode worker restarts while the prompt is prefilled elsewhere. Its
+	// reservation was lost with its memory, so another one is made.
 	@Test
-	void reservesAgainWhenTheDecodeWorkerHasStartedAgain() {
+	void reservesAgainAfterADecodeWorkerRestart() {
 		this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
 		this.f.callWithPrompt("once", 3_000);
 		this.f.workers.reservations.get(0).listener().onHeld("h");
@@ -218,10 +218,10 @@
 		Assertions.assertThat(this.f.workers.reservations).hasSize(2);
 	}
 
-	// A worker says that it leaves while the prompt is read elsewhere for a request that
-	// has a place there: the request would reach it after all VMs had to leave it alone.
+	// A decode worker with a reservation starts draining while the prompt is prefilled
+	// elsewhere. The request would reach it after all VMs must have stopped using it.
 	@Test
-	void reservesAgainWhenTheDecodeWorkerLeavesMeanwhile() {
+	void reservesAgainWhenTheDecodeWorkerDrains() {
 		this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
 		this.f.callWithPrompt("once", 3_000);
 		WorkerInfo first = this.f.workers.reservations.get(0).worker();
@@ -234,9 +234,9 @@
 		Assertions.assertThat(this.f.workers.reservations.get(1).worker().id()).isNotEqualTo(first.id());
 	}
 
-	// The same for a worker whose entry is removed without a word.
+	// As above, for a worker whose registration is removed without notice.
 	@Test
-	void reservesAgainWhenTheEntryOfTheDecodeWorkerIsGoneMeanwhile() {
+	void reservesAgainWhenTheDecodeWorkerIsDeregistered() {
 		this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
 		this.f.callWithPrompt("once", 3_000);
 		WorkerInfo first = this.f.workers.reservations.get(0).worker();
@@ -248,10 +248,10 @@
 		Assertions.assertThat(this.f.workers.reservations.get(1).worker().id()).isNotEqualTo(first.id());
 	}
 
-	// A place is granted by a worker that has said meanwhile that it leaves. A prompt
-	// read for it would be read in vain.
+	// A worker that started draining in the meantime grants a reservation. Prefilling
+	// the prompt for it would be wasted work.
 	@Test
-	void readsNoPromptForAPlaceAtAWorkerThatLeaves() {
+	void doesNotPrefillForAReservationAtADrainingWorker() {
 		this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
 		this.f.callWithPrompt("once", 3_000);
 		this.f.drain(this.f.workers.reservations.get(0).worker());
