--- a/src/main/java/io/shallotspur/gateway/EntryVmDirectory.java
+++ b/src/main/java/io/shallotspur/gateway/EntryVmDirectory.java
@@ -155,8 +155,8 @@
 	 * has not registered itself or no VM is known
 	 */
 	int servingIndex(long now) {
-		List<String> l = selection(now).addresses();
-		return (this.self == null || l.isEmpty()) ? 0 : l.indexOf(this.self.address());
+		List<String> addresses = selection(now).addresses();
+		return (this.self == null || addresses.isEmpty()) ? 0 : addresses.indexOf(this.self.address());
 	}
 
 	/**
@@ -195,11 +195,11 @@
 	private record Selection(Map<String, List<EntryVm>> byRegion, List<EntryVm> allRegions, List<String> addresses,
 			long until) {
 
-		static Selection of(Map<String, List<EntryVm>> byRegion, List<EntryVm> ofAll, long until) {
-			List<String> l = new ArrayList<>();
-			byRegion.keySet().stream().sorted().forEach((r) -> byRegion.get(r).forEach((v) -> l.add(v.address())));
-			List<String> all = byRegion.isEmpty() ? ofAll.stream().map(EntryVm::address).toList() : l;
-			return new Selection(byRegion, ofAll, all, until);
+		static Selection of(Map<String, List<EntryVm>> byRegion, List<EntryVm> allRegions, long until) {
+			List<String> ordered = new ArrayList<>();
+			byRegion.keySet().stream().sorted().forEach((r) -> byRegion.get(r).forEach((v) -> ordered.add(v.address())));
+			List<String> all = byRegion.isEmpty() ? allRegions.stream().map(EntryVm::address).toList() : ordered;
+			return new Selection(byRegion, allRegions, all, until);
 		}
 
 		List<EntryVm> forRegion(String region) {
--- a/src/main/java/io/shallotspur/gateway/RelayTask.java
+++ b/src/main/java/io/shallotspur/gateway/RelayTask.java
@@ -91,7 +91,7 @@
 		this.gateway.recordSent(w, now);
 		if (w.onGrace()) {
 			this.gateway.metrics.sentToVanished();
-			note("sent to worker with expired registration worker=" + w.info().id(), now);
+			note("sent to worker without a registration (grace period) worker=" + w.info().id(), now);
 		}
 		this.gateway.roster.detector(this.upstream).started(w.info().id(), now);
 		Attempt a = new Attempt(this, w, this.route.kind() == RouteKind.STREAM, this.responseStarted);
@@ -114,9 +114,9 @@
 
 	@Override
 	public boolean mayPrefillAgain(long now) {
-		AttemptHistory before = this.history;
+		AttemptHistory previous = this.history;
 		boolean allowed = mayGoOnAfterPrefill(now);
-		this.history = allowed ? this.history : before;
+		this.history = allowed ? this.history : previous;
 		return allowed;
 	}
 
--- a/src/main/java/io/shallotspur/gateway/ServingVmSelector.java
+++ b/src/main/java/io/shallotspur/gateway/ServingVmSelector.java
@@ -9,8 +9,9 @@
  * <p>
  * With many VMs and few workers, a VM must see a sufficient share of the traffic. If
  * callers were spread over a hundred VMs, each would see one request in a hundred: it
- * would know neither which workers are full nor which request is next, would take most of
- * a day to learn the speed of the engines, and would keep connections to every worker.
+ * would know neither which workers are full nor which request is next, would learn the
+ * speed of the engines only by the end of the day, and would keep connections to every
+ * worker.
  * Callers are therefore directed to a few VMs, and the others are standby.
  * <p>
  * All VMs with the same view of the registrations select the same VMs: the largest of
@@ -54,8 +55,8 @@
 		return selected;
 	}
 
-	private static long countInHall(List<EntryVm> l, String hall) {
-		return l.stream().filter((v) -> v.hall().equals(hall)).count();
+	private static long countInHall(List<EntryVm> vms, String hall) {
+		return vms.stream().filter((v) -> v.hall().equals(hall)).count();
 	}
 
 	// Keys that differ in one character have similar hash codes; multiplicative hashing
--- a/src/test/java/io/shallotspur/gateway/FakeWorkers.java
+++ b/src/test/java/io/shallotspur/gateway/FakeWorkers.java
@@ -43,8 +43,8 @@
 	}
 
 	@Override
-	public void cancelReservation(WorkerInfo worker, String hold) {
-		this.cancelledReservations.add(hold);
+	public void cancelReservation(WorkerInfo worker, String reservation) {
+		this.cancelledReservations.add(reservation);
 	}
 
 	Run lastRun() {
--- a/src/test/java/io/shallotspur/gateway/GatewayFixture.java
+++ b/src/test/java/io/shallotspur/gateway/GatewayFixture.java
@@ -22,8 +22,8 @@
 /**
  * A gateway with fake workers, fake callers and manual time. Routes: {@code /safe/},
  * {@code /unsafe/} and {@code /open/} (no key required) to the plain upstream,
- * {@code /once/} (one attempt) and {@code /resume/} (two attempts, resumable) to the model
- * upstream.
+ * {@code /once/} (one attempt) and {@code /resume/} (two attempts, resumable) to the
+ * model upstream.
  */
 final class GatewayFixture {
 
--- a/src/test/java/io/shallotspur/gateway/NopWorkers.java
+++ b/src/test/java/io/shallotspur/gateway/NopWorkers.java
@@ -26,7 +26,7 @@
 	}
 
 	@Override
-	public void cancelReservation(WorkerInfo worker, String hold) {
+	public void cancelReservation(WorkerInfo worker, String reservation) {
 	}
 
 }
--- a/src/test/java/io/shallotspur/gateway/OverloadDetectorTests.java
+++ b/src/test/java/io/shallotspur/gateway/OverloadDetectorTests.java
@@ -19,7 +19,8 @@
 		}
 	}
 
-	// The detector exceeds the processor's capacity: each step of each request runs recordDelays.
+	// The detector exceeds the processor's capacity: each step of each request runs
+	// recordDelays.
 	@Test
 	void isOverloadedWhileTasksRunLate() {
 		recordDelays(12, 40);
