--- a/src/main/java/io/shallotspur/gateway/Gateway.java
+++ b/src/main/java/io/shallotspur/gateway/Gateway.java
@@ -33,7 +33,7 @@
 
 	private final LongSupplier wallClock;
 
-	private final ElapsedTime elapsed = new ElapsedTime();
+	private final SuspendAwareClock elapsed = new SuspendAwareClock();
 
 	private Runnable cancelClockSampling = () -> {
 	};
@@ -50,13 +50,13 @@
 
 	final RequestAgeEstimator requestAges = new RequestAgeEstimator();
 
-	final RetryAllowance retryBudget;
+	final UpstreamRetryBudget retryBudget;
 
-	final WorkerLimits workerLimits;
+	final RateLimitEnforcer workerLimits;
 
-	final QuotaBook quotas;
+	final QuotaLimiter quotas;
 
-	private final ConfigProof configFreshness;
+	private final ConfigFreshness configFreshness;
 
 	private ConfigSource configSource = Runnable::run;
 
@@ -87,10 +87,10 @@
 		this.random = ports.random()::getAsDouble;
 		this.log = ports.log();
 		this.metrics = ports.metrics();
-		this.retryBudget = new RetryAllowance(settings);
-		this.workerLimits = new WorkerLimits(this.entryVms, this.random.next());
-		this.quotas = new QuotaBook(settings.quotas(), this.clock.getAsLong());
-		this.configFreshness = new ConfigProof(settings.revokedKeyMs());
+		this.retryBudget = new UpstreamRetryBudget(settings);
+		this.workerLimits = new RateLimitEnforcer(this.entryVms, this.random.next());
+		this.quotas = new QuotaLimiter(settings.quotas(), this.clock.getAsLong());
+		this.configFreshness = new ConfigFreshness(settings.revokedKeyMs());
 	}
 
 	/**
@@ -162,7 +162,7 @@
 		PromptShape p = r.prompt();
 		if (p != null) {
 			long responseMs = engineTimes(route.chooseUpstream(0)).answerMs(p.likelyOutputTokens());
-			longestMs = Math.min(longestMs, route.targetMs() + (long) (RetryAdvice.ANSWER_MARGIN * responseMs));
+			longestMs = Math.min(longestMs, route.targetMs() + (long) (RetryAfter.ANSWER_MARGIN * responseMs));
 		}
 		return now + longestMs > this.shutdownAt;
 	}
@@ -206,7 +206,7 @@
 	 * @return milliseconds since an arbitrary point in time
 	 */
 	public long elapsedMs() {
-		return this.elapsed.at(this.clock.getAsLong(), this.wallClock.getAsLong());
+		return this.elapsed.elapsedMs(this.clock.getAsLong(), this.wallClock.getAsLong());
 	}
 
 	/**
@@ -231,7 +231,7 @@
 	 * @param requestedAtMs when the confirming request was sent, as in {@link #elapsedMs}
 	 */
 	public void configConfirmed(long requestedAtMs) {
-		this.configFreshness.proved(requestedAtMs);
+		this.configFreshness.confirm(requestedAtMs);
 	}
 
 	/**
@@ -244,13 +244,13 @@
 	}
 
 	void refreshConfig(Runnable then) {
-		this.configSource.ask(then);
+		this.configSource.refresh(then);
 	}
 
 	// Refreshes the configuration while callers use keys, before the last confirmation
 	// expires.
 	void refreshConfigIfStale() {
-		if (this.configFreshness.worthRenewing(elapsedMs())) {
+		if (this.configFreshness.shouldRefresh(elapsedMs())) {
 			refreshConfig(() -> {
 			});
 		}
@@ -275,8 +275,8 @@
 		if (status.limit() == null) {
 			return;
 		}
-		NamedLimit.Sent previous = w.limit().sentSince(now);
-		if (w.limit().told(status.limit(), sentAt, now)) {
+		WorkerRateLimiter.SendCount previous = w.limit().sentSinceChange(now);
+		if (w.limit().update(status.limit(), sentAt, now)) {
 			this.metrics.limitChanged();
 			this.log.write(now,
 					() -> "worker=" + w.info().id() + " limit-per-s=" + w.limit().limit() + " previous: " + previous);
@@ -285,8 +285,8 @@
 
 	// Records that a request, or the prefill of its prompt, is sent to a worker.
 	void recordSent(WorkerState w, long now) {
-		this.workerLimits.sent(w, now);
-		if (w.limit().limit().named()) {
+		this.workerLimits.recordSent(w, now);
+		if (w.limit().limit().isLimited()) {
 			this.metrics.sentToLimited();
 		}
 	}
--- a/src/main/java/io/shallotspur/gateway/RelayTask.java
+++ b/src/main/java/io/shallotspur/gateway/RelayTask.java
@@ -74,7 +74,7 @@
 	}
 
 	void start(long now) {
-		this.gateway.retryBudget.firstTry(this.upstream, now);
+		this.gateway.retryBudget.recordFirstAttempt(this.upstream, now);
 		long callerSlackMs = this.request.callerTimeoutMs() - (this.deadline - this.arrivedAt);
 		long slackMs = Math.min(WORKER_TIMEOUT_SLACK_MS, callerSlackMs);
 		this.cancelDeadline = this.gateway.timer.schedule(this.deadline + slackMs - now, this::onDeadline);
@@ -108,8 +108,8 @@
 
 	@Override
 	public boolean mayGoOnAfterPrefill(long now) {
-		this.history = this.history.with(AttemptEnd.NOT_RUN);
-		return mayRetry(AttemptEnd.NOT_RUN, now);
+		this.history = this.history.with(AttemptOutcome.NOT_RUN);
+		return mayRetry(AttemptOutcome.NOT_RUN, now);
 	}
 
 	@Override
@@ -209,12 +209,12 @@
 	}
 
 	@Override
-	public void onFailure(AttemptEnd end, String reason, @Nullable ResponseHead head, byte[] body) {
+	public void onFailure(AttemptOutcome end, String reason, @Nullable ResponseHead head, byte[] body) {
 		long now = this.gateway.clock.getAsLong();
 		this.history = this.history.with(end);
 		this.gateway.metrics.attemptEnded(end);
 		recordFailure(end, now);
-		NextStep next = this.history.next(end, mayRetry(end, now));
+		NextStep next = this.history.nextStep(end, mayRetry(end, now));
 		log(now, "attempt=" + end + " seen=\"" + reason + "\" next=" + next);
 		endAttempt();
 		switch (next) {
@@ -227,26 +227,26 @@
 		}
 	}
 
-	private void recordFailure(AttemptEnd end, long now) {
+	private void recordFailure(AttemptOutcome end, long now) {
 		if (this.attempt == null) {
 			return;
 		}
 		WorkerState w = this.attempt.worker();
 		w.outcome(true);
-		if (end == AttemptEnd.NOT_RUN) {
+		if (end == AttemptOutcome.NOT_RUN) {
 			int slots = w.info().slots();
 			w.reported(new LoadReport(slots, slots, slots), now);
 		}
 		else {
 			this.gateway.roster.detector(this.upstream).failed(w.info().id(), now);
 		}
-		if (end == AttemptEnd.NOT_SENT) {
+		if (end == AttemptOutcome.NOT_SENT) {
 			w.unreachable(now);
 		}
 	}
 
-	private boolean mayRetry(AttemptEnd end, long now) {
-		if (!this.history.allowsAnother(this.route.maxAttempts(), this.route.repeatable())) {
+	private boolean mayRetry(AttemptOutcome end, long now) {
+		if (!this.history.allowsAnotherAttempt(this.route.maxAttempts(), this.route.repeatable())) {
 			return false;
 		}
 		if (this.responseStarted && !this.route.resumable()) {
@@ -257,11 +257,11 @@
 		}
 		// A request that never left this VM put no load on a worker and does not use the
 		// retry budget.
-		return end == AttemptEnd.NOT_SENT
-				|| this.gateway.retryBudget.tryRetry(this.upstream, this.gateway.entryVms, now);
+		return end == AttemptOutcome.NOT_SENT
+				|| this.gateway.retryBudget.tryAcquire(this.upstream, this.gateway.entryVms, now);
 	}
 
-	private static RefusalReason refusalReason(AttemptEnd end) {
+	private static RefusalReason refusalReason(AttemptOutcome end) {
 		return switch (end) {
 			case NOT_SENT -> RefusalReason.NO_WORKER;
 			case NOT_RUN -> RefusalReason.WORKERS_FULL;
@@ -303,14 +303,14 @@
 		double random = this.gateway.random.next();
 		long remainingMs = this.request.callerTimeoutMs() - (now - this.arrivedAt);
 		if (reason == RefusalReason.WORKERS_LIMITED) {
-			return RetryAdvice.afterRefillMs(this.placing.limitWaitMs(now), remainingMs, random);
+			return RetryAfter.refillDelayMs(this.placing.limitWaitMs(now), remainingMs, random);
 		}
 		boolean tooLate = now > this.placing.latestStart();
 		boolean hasTimeout = this.request.callerTimeoutMs() != Long.MAX_VALUE;
 		if (tooLate && hasTimeout && this.route.kind() == RouteKind.STREAM) {
-			return Math.max(1, RetryAdvice.afterLateMs(remainingMs, this.placing.answerMs(), random));
+			return Math.max(1, RetryAfter.lateDelayMs(remainingMs, this.placing.answerMs(), random));
 		}
-		return RetryAdvice.afterMs(this.route, random);
+		return RetryAfter.delayMs(this.route, random);
 	}
 
 	private void onDeadline() {
@@ -329,8 +329,8 @@
 	private void refuse(RelayRefusal r, long now) {
 		cancelAttempt();
 		refundQuota(r);
-		this.gateway.metrics.refused(r.code(), this.admitted.customerName());
-		log(now, "refused status=" + r.status() + " reason=" + r.code().code() + " retry-after-ms=" + r.retryAfterMs());
+		this.gateway.metrics.refused(r.reason(), this.admitted.customerName());
+		log(now, "refused status=" + r.status() + " reason=" + r.reason().code() + " retry-after-ms=" + r.retryAfterMs());
 		finish();
 		this.response.refuse(r);
 	}
@@ -340,7 +340,7 @@
 	private void refundQuota(RelayRefusal r) {
 		Customer c = this.admitted.customer();
 		if (c != null && r.status() == RelayRefusal.NOT_RUN) {
-			this.gateway.quotas.giveBack(c, this.admitted.quotaCost());
+			this.gateway.quotas.refund(c, this.admitted.quotaCost());
 		}
 	}
 
@@ -394,7 +394,7 @@
 		this.gateway.log.write(now,
 				() -> "id=" + this.request.id() + " route=" + this.route.name() + " upstream=" + this.upstream
 						+ " customer=" + this.admitted.customerName() + " worker=" + worker + " config="
-						+ this.admitted.routeTable().version() + " sends=" + this.history.sends() + " ms="
+						+ this.admitted.routeTable().version() + " sends=" + this.history.sentCount() + " ms="
 						+ (now - this.arrivedAt) + " " + text);
 	}
 
--- a/src/main/java/io/shallotspur/gateway/RequestAdmission.java
+++ b/src/main/java/io/shallotspur/gateway/RequestAdmission.java
@@ -86,18 +86,18 @@
 	}
 
 	private void authenticate(RouteTable t, Route r, boolean mayRefresh, long now) {
-		KeyCheck.Verdict v = KeyCheck.of(t, r, this.request.keyHash(), this.gateway.configAgeMs(),
+		KeyCheck.Decision v = KeyCheck.evaluate(t, r, this.request.keyHash(), this.gateway.configAgeMs(),
 				this.gateway.settings.revokedKeyMs());
 		switch (v.action()) {
 			case ADMIT -> chargeQuota(t, r, v.customer(), now);
 			case DENY -> refuse(new RelayRefusal(UNAUTHORIZED, RefusalReason.UNKNOWN_KEY, 0), now);
-			case PROVE -> refreshConfig(r, mayRefresh, now);
+			case REVALIDATE -> refreshConfig(r, mayRefresh, now);
 		}
 	}
 
 	private void refreshConfig(Route r, boolean mayRefresh, long now) {
 		if (!mayRefresh) {
-			long retryAfterMs = RetryAdvice.afterMs(r, this.gateway.random.next());
+			long retryAfterMs = RetryAfter.delayMs(r, this.gateway.random.next());
 			refuse(RelayRefusal.notRun(RefusalReason.KEY_UNPROVEN, retryAfterMs), now);
 			return;
 		}
@@ -118,12 +118,12 @@
 
 	private void chargeQuota(RouteTable t, Route r, @Nullable Customer c, long now) {
 		double cost = (c != null) ? quotaCost(c) : 0;
-		long refillMs = (c != null) ? this.gateway.quotas.take(c, cost, QuotaPart.of(this.gateway.entryVms, now), now)
+		long refillMs = (c != null) ? this.gateway.quotas.charge(c, cost, QuotaShare.of(this.gateway.entryVms, now), now)
 				: 0;
 		if (refillMs > 0) {
-			long retryAfterMs = RetryAdvice.afterRefillMs(refillMs, this.request.callerTimeoutMs(),
+			long retryAfterMs = RetryAfter.refillDelayMs(refillMs, this.request.callerTimeoutMs(),
 					this.gateway.random.next());
-			refuse(new RelayRefusal(RelayRefusal.TOO_MANY, RefusalReason.OVER_QUOTA, retryAfterMs), c, now);
+			refuse(new RelayRefusal(RelayRefusal.TOO_MANY_REQUESTS, RefusalReason.OVER_QUOTA, retryAfterMs), c, now);
 			return;
 		}
 		if (c != null) {
@@ -153,11 +153,11 @@
 		this.done = true;
 		this.gateway.requestFinished();
 		String customer = (c != null) ? c.name() : null;
-		this.gateway.metrics.refused(refusal.code(), customer);
+		this.gateway.metrics.refused(refusal.reason(), customer);
 		long version = this.gateway.routeTable().map(RouteTable::version).orElse(0L);
 		this.gateway.log.write(now,
 				() -> "id=" + this.request.id() + " customer=" + customer + " refused status=" + refusal.status()
-						+ " reason=" + refusal.code().code() + " retry-after-ms=" + refusal.retryAfterMs() + " config="
+						+ " reason=" + refusal.reason().code() + " retry-after-ms=" + refusal.retryAfterMs() + " config="
 						+ version);
 		this.response.refuse(refusal);
 	}
