--- a/src/main/java/io/shallotspur/gateway/Gateway.java
+++ b/src/main/java/io/shallotspur/gateway/Gateway.java
@@ -38,13 +38,13 @@
 	private Runnable cancelClockSampling = () -> {
 	};
 
-	final Placement.Random random;
+	final WorkerSelector.RandomSource random;
 
 	final DecisionLog log;
 
 	final RelayMetrics metrics;
 
-	final Roster roster = new Roster();
+	final WorkerDirectory roster = new WorkerDirectory();
 
 	final EntryVmDirectory entryVms = new EntryVmDirectory();
 
@@ -60,9 +60,9 @@
 
 	private ConfigSource configSource = Runnable::run;
 
-	private final Map<String, HoldQueue> reservationQueues = new HashMap<>();
+	private final Map<String, ReservationQueue> reservationQueues = new HashMap<>();
 
-	private final Map<String, EngineTimes> engineTimes = new HashMap<>();
+	private final Map<String, EngineTimeEstimator> engineTimes = new HashMap<>();
 
 	private @Nullable RouteTable routeTable;
 
@@ -121,7 +121,7 @@
 	 * Returns the workers.
 	 * @return the workers; kept up to date by the registry watcher
 	 */
-	public Roster roster() {
+	public WorkerDirectory roster() {
 		return this.roster;
 	}
 
@@ -138,8 +138,8 @@
 	 * @param upstream the upstream
 	 * @return the statistics, updated with each request
 	 */
-	public EngineTimes engineTimes(String upstream) {
-		return this.engineTimes.computeIfAbsent(upstream, (u) -> new EngineTimes());
+	public EngineTimeEstimator engineTimes(String upstream) {
+		return this.engineTimes.computeIfAbsent(upstream, (u) -> new EngineTimeEstimator());
 	}
 
 	/**
@@ -159,9 +159,9 @@
 			return false;
 		}
 		long longestMs = Math.min(r.callerTimeoutMs(), route.timeoutMs());
-		PromptShape p = r.prompt();
+		PromptInfo p = r.prompt();
 		if (p != null) {
-			long responseMs = engineTimes(route.chooseUpstream(0)).answerMs(p.likelyOutputTokens());
+			long responseMs = engineTimes(route.chooseUpstream(0)).generationMs(p.expectedOutputTokens());
 			longestMs = Math.min(longestMs, route.targetMs() + (long) (RetryAfter.ANSWER_MARGIN * responseMs));
 		}
 		return now + longestMs > this.shutdownAt;
@@ -256,8 +256,8 @@
 		}
 	}
 
-	HoldQueue reservationQueue(String upstream) {
-		return this.reservationQueues.computeIfAbsent(upstream, (u) -> new HoldQueue(this, u));
+	ReservationQueue reservationQueue(String upstream) {
+		return this.reservationQueues.computeIfAbsent(upstream, (u) -> new ReservationQueue(this, u));
 	}
 
 	/**
@@ -267,10 +267,10 @@
 	 * @param sentAt when the request was sent whose response carried the report, in
 	 * milliseconds
 	 */
-	void updateWorkerStatus(WorkerState w, WorkerNews status, long sentAt) {
+	void updateWorkerStatus(WorkerState w, WorkerStatus status, long sentAt) {
 		long now = this.clock.getAsLong();
 		if (status.load() != null) {
-			w.reported(status.load(), now);
+			w.recordLoad(status.load(), now);
 		}
 		if (status.limit() == null) {
 			return;
@@ -292,9 +292,9 @@
 	}
 
 	void onCapacityFreed(String upstream, String worker) {
-		HoldQueue queue = this.reservationQueues.get(upstream);
+		ReservationQueue queue = this.reservationQueues.get(upstream);
 		if (queue != null) {
-			queue.freed(worker, this.clock.getAsLong());
+			queue.capacityFreed(worker, this.clock.getAsLong());
 		}
 	}
 
--- a/src/main/java/io/shallotspur/gateway/RelayTask.java
+++ b/src/main/java/io/shallotspur/gateway/RelayTask.java
@@ -14,7 +14,7 @@
  * Invariants: the caller gets one response; a request that may have run is never reported
  * as not run, and is sent again only if running it twice is harmless.
  */
-final class RelayTask implements Attempt.Listener, Placing.Sink {
+final class RelayTask implements Attempt.Listener, RequestPlacement.Callback {
 
 	// The worker enforces the deadline itself. Its own response is worth a short wait,
 	// ms: a response crosses a hall in a few ms.
@@ -40,7 +40,7 @@
 
 	private final long deadline;
 
-	private final Placing placing;
+	private final RequestPlacement placing;
 
 	private final ResponseProgress progress;
 
@@ -70,7 +70,7 @@
 		this.upstream = this.route.chooseUpstream(gateway.random.next());
 		UpstreamSpec spec = admitted.routeTable().upstream(this.upstream).orElse(null);
 		this.progress = new ResponseProgress((spec != null) ? spec.engine() : null, this.request.lastEventId());
-		this.placing = new Placing(gateway, admitted, this.upstream, spec, this, arrivedAt, this.deadline);
+		this.placing = new RequestPlacement(gateway, admitted, this.upstream, spec, this, arrivedAt, this.deadline);
 	}
 
 	void start(long now) {
@@ -79,49 +79,49 @@
 		long slackMs = Math.min(WORKER_TIMEOUT_SLACK_MS, callerSlackMs);
 		this.cancelDeadline = this.gateway.timer.schedule(this.deadline + slackMs - now, this::onDeadline);
 		if (this.request.prompt() != null) {
-			this.gateway.engineTimes(this.upstream).asked(this.request.prompt());
+			this.gateway.engineTimes(this.upstream).recordRequest(this.request.prompt());
 		}
 		this.placing.start(now);
 	}
 
 	@Override
-	public void ready(WorkerState w, WorkerCall call, long now) {
+	public void onReady(WorkerState w, WorkerCall call, long now) {
 		this.attemptStartedAt = now;
-		w.started();
+		w.requestStarted();
 		this.gateway.recordSent(w, now);
-		if (w.onGrace()) {
+		if (w.inGracePeriod()) {
 			this.gateway.metrics.sentToVanished();
-			note("sent to worker without a registration (grace period) worker=" + w.info().id(), now);
+			log("sent to worker without a registration (grace period) worker=" + w.info().id(), now);
 		}
-		this.gateway.roster.detector(this.upstream).started(w.info().id(), now);
+		this.gateway.roster.outlierDetector(this.upstream).started(w.info().id(), now);
 		Attempt a = new Attempt(this, w, this.route.kind() == RouteKind.STREAM, this.responseStarted);
 		this.attempt = a;
 		this.prefillsAtWorker = call.kvSource() == null && this.request.prompt() != null;
-		w.prefilling(this.prefillsAtWorker ? 1 : 0);
+		w.adjustActivePrefills(this.prefillsAtWorker ? 1 : 0);
 		a.send(this.gateway.workerPort, call.withLastEventId(this.progress.lastEventId()));
 	}
 
 	@Override
-	public void nowhere(RefusalReason reason, long now) {
+	public void onRefused(RefusalReason reason, long now) {
 		refuseOrAbort(reason, now);
 	}
 
 	@Override
-	public boolean mayGoOnAfterPrefill(long now) {
+	public boolean mayContinueAfterRefusedPrefill(long now) {
 		this.history = this.history.with(AttemptOutcome.NOT_RUN);
 		return mayRetry(AttemptOutcome.NOT_RUN, now);
 	}
 
 	@Override
-	public boolean mayPrefillAgain(long now) {
+	public boolean mayRetryPrefill(long now) {
 		AttemptHistory previous = this.history;
-		boolean allowed = mayGoOnAfterPrefill(now);
+		boolean allowed = mayContinueAfterRefusedPrefill(now);
 		this.history = allowed ? this.history : previous;
 		return allowed;
 	}
 
 	@Override
-	public int received() {
+	public int receivedTokens() {
 		return this.progress.receivedTokens();
 	}
 
@@ -131,7 +131,7 @@
 	}
 
 	@Override
-	public void note(String text, long now) {
+	public void log(String text, long now) {
 		log(now, text);
 	}
 
@@ -143,7 +143,7 @@
 		WorkerState w = this.attempt.worker();
 		this.gateway.updateWorkerStatus(w, head.workerStatus(), this.attemptStartedAt);
 		if (head.otherIncarnation()) {
-			this.gateway.roster.replaced(w.info().id(), this.placing.stage(), this.gateway.clock.getAsLong());
+			this.gateway.roster.instanceReplaced(w.info().id(), this.placing.stage(), this.gateway.clock.getAsLong());
 		}
 	}
 
@@ -168,7 +168,7 @@
 
 	private void prefillFinished() {
 		if (this.prefillsAtWorker && this.attempt != null) {
-			this.attempt.worker().prefilling(-1);
+			this.attempt.worker().adjustActivePrefills(-1);
 			this.prefillsAtWorker = false;
 		}
 	}
@@ -180,9 +180,9 @@
 		this.gateway.metrics.firstByte(this.route.name(), now - this.arrivedAt);
 		if (this.attempt != null) {
 			String id = this.attempt.worker().info().id();
-			this.gateway.engineTimes(this.upstream).firstByte(now - Math.max(this.arrivedAt, this.placing.heldAt()));
-			this.gateway.roster.detector(this.upstream).succeeded(id, now - this.attemptStartedAt, now);
-			this.attempt.worker().outcome(false);
+			this.gateway.engineTimes(this.upstream).recordTimeToFirstEvent(now - Math.max(this.arrivedAt, this.placing.reservedAt()));
+			this.gateway.roster.outlierDetector(this.upstream).succeeded(id, now - this.attemptStartedAt, now);
+			this.attempt.worker().recordOutcome(false);
 		}
 	}
 
@@ -193,9 +193,9 @@
 			firstByte();
 		}
 		this.gateway.metrics.answered(this.route.name(), this.admitted.customerName(), now - this.arrivedAt);
-		PromptShape p = this.request.prompt();
+		PromptInfo p = this.request.prompt();
 		if (forwarded && p != null && this.request.lastEventId() == null) {
-			this.gateway.engineTimes(this.upstream).streamed(now - this.progress.firstByteAt(), p, received());
+			this.gateway.engineTimes(this.upstream).recordResponse(now - this.progress.firstByteAt(), p, receivedTokens());
 		}
 		log(now, "answered status=" + head.status() + timingFields());
 		endAttempt();
@@ -232,16 +232,16 @@
 			return;
 		}
 		WorkerState w = this.attempt.worker();
-		w.outcome(true);
+		w.recordOutcome(true);
 		if (end == AttemptOutcome.NOT_RUN) {
 			int slots = w.info().slots();
-			w.reported(new LoadReport(slots, slots, slots), now);
+			w.recordLoad(new LoadReport(slots, slots, slots), now);
 		}
 		else {
-			this.gateway.roster.detector(this.upstream).failed(w.info().id(), now);
+			this.gateway.roster.outlierDetector(this.upstream).failed(w.info().id(), now);
 		}
 		if (end == AttemptOutcome.NOT_SENT) {
-			w.unreachable(now);
+			w.markUnreachable(now);
 		}
 	}
 
@@ -252,7 +252,7 @@
 		if (this.responseStarted && !this.route.resumable()) {
 			return false;
 		}
-		if (this.deadline - now < MIN_ATTEMPT_MS || !this.placing.anyLeft(now)) {
+		if (this.deadline - now < MIN_ATTEMPT_MS || !this.placing.hasCandidates(now)) {
 			return false;
 		}
 		// A request that never left this VM put no load on a worker and does not use the
@@ -271,8 +271,8 @@
 
 	// Timestamps relative to the arrival, and the longest pause between two events, ms.
 	private String timingFields() {
-		long reservedAt = Math.max(this.arrivedAt, this.placing.heldAt());
-		return " tokens=" + this.placing.tokens() + " held-ms=" + (reservedAt - this.arrivedAt) + " sent-ms="
+		long reservedAt = Math.max(this.arrivedAt, this.placing.reservedAt());
+		return " tokens=" + this.placing.requiredTokens() + " held-ms=" + (reservedAt - this.arrivedAt) + " sent-ms="
 				+ (this.attemptStartedAt - this.arrivedAt) + " first-ms="
 				+ (this.progress.firstByteAt() - this.arrivedAt) + " pause-ms=" + this.progress.longestPauseMs();
 	}
@@ -303,12 +303,12 @@
 		double random = this.gateway.random.next();
 		long remainingMs = this.request.callerTimeoutMs() - (now - this.arrivedAt);
 		if (reason == RefusalReason.WORKERS_LIMITED) {
-			return RetryAfter.refillDelayMs(this.placing.limitWaitMs(now), remainingMs, random);
+			return RetryAfter.refillDelayMs(this.placing.rateLimitWaitMs(now), remainingMs, random);
 		}
 		boolean tooLate = now > this.placing.latestStart();
 		boolean hasTimeout = this.request.callerTimeoutMs() != Long.MAX_VALUE;
 		if (tooLate && hasTimeout && this.route.kind() == RouteKind.STREAM) {
-			return Math.max(1, RetryAfter.lateDelayMs(remainingMs, this.placing.answerMs(), random));
+			return Math.max(1, RetryAfter.lateDelayMs(remainingMs, this.placing.generationMs(), random));
 		}
 		return RetryAfter.delayMs(this.route, random);
 	}
@@ -373,8 +373,8 @@
 	private void endAttempt() {
 		if (this.attempt != null) {
 			WorkerState w = this.attempt.worker();
-			w.ended();
-			w.lasted(this.gateway.clock.getAsLong() - this.attemptStartedAt);
+			w.requestEnded();
+			w.recordDuration(this.gateway.clock.getAsLong() - this.attemptStartedAt);
 			prefillFinished();
 			this.attempt = null;
 			this.gateway.onCapacityFreed(this.upstream, w.info().id());
--- a/src/main/java/io/shallotspur/gateway/ResponseHead.java
+++ b/src/main/java/io/shallotspur/gateway/ResponseHead.java
@@ -15,7 +15,7 @@
  * @param workerStatus load and limit that the worker reported with the response
  */
 public record ResponseHead(int status, List<HeaderField> headers, ResponseAuthenticity authenticity, boolean notRun,
-		boolean otherIncarnation, WorkerNews workerStatus) {
+		boolean otherIncarnation, WorkerStatus workerStatus) {
 
 	private static final int MIN_SUCCESS_STATUS = 200;
 
--- a/src/main/java/io/shallotspur/gateway/ResponseProgress.java
+++ b/src/main/java/io/shallotspur/gateway/ResponseProgress.java
@@ -12,7 +12,7 @@
 
 	private final int tokensPerEvent;
 
-	private final AnswerPace pace = new AnswerPace();
+	private final EventTiming pace = new EventTiming();
 
 	private @Nullable String lastEventId;
 
@@ -45,11 +45,11 @@
 	 * @return tokens; 0 if the number of tokens per event is not configured
 	 */
 	int receivedTokens() {
-		return this.pace.events() * this.tokensPerEvent;
+		return this.pace.eventCount() * this.tokensPerEvent;
 	}
 
 	long longestPauseMs() {
-		return this.pace.longestPauseMs();
+		return this.pace.maxGapMs();
 	}
 
 	/**
@@ -59,17 +59,17 @@
 	 * @param times records the interval between events
 	 * @param now the current time in milliseconds
 	 */
-	void recordEvent(byte[] event, long attemptStartedAt, EngineTimes times, long now) {
+	void recordEvent(byte[] event, long attemptStartedAt, EngineTimeEstimator times, long now) {
 		String id = EventSplitter.eventId(event);
 		if (!id.isEmpty()) {
 			this.lastEventId = id;
 		}
 		// An interval that spans two attempts includes the failover and says nothing
 		// about the engine's speed.
-		boolean sameAttempt = this.pace.latestAt() > attemptStartedAt;
-		long pause = this.pace.event(now);
+		boolean sameAttempt = this.pace.lastEventAt() > attemptStartedAt;
+		long pause = this.pace.recordEvent(now);
 		if (sameAttempt) {
-			times.event(pause, this.tokensPerEvent);
+			times.recordEvent(pause, this.tokensPerEvent);
 		}
 	}
 
