--- a/src/main/java/io/shallotspur/gateway/EntryVmDirectory.java
+++ b/src/main/java/io/shallotspur/gateway/EntryVmDirectory.java
@@ -197,7 +197,10 @@
 
 		static Selection of(Map<String, List<EntryVm>> byRegion, List<EntryVm> allRegions, long until) {
 			List<String> ordered = new ArrayList<>();
-			byRegion.keySet().stream().sorted().forEach((r) -> byRegion.get(r).forEach((v) -> ordered.add(v.address())));
+			byRegion.keySet()
+				.stream()
+				.sorted()
+				.forEach((r) -> byRegion.get(r).forEach((v) -> ordered.add(v.address())));
 			List<String> all = byRegion.isEmpty() ? allRegions.stream().map(EntryVm::address).toList() : ordered;
 			return new Selection(byRegion, allRegions, all, until);
 		}
--- a/src/main/java/io/shallotspur/gateway/RelayTask.java
+++ b/src/main/java/io/shallotspur/gateway/RelayTask.java
@@ -180,7 +180,8 @@
 		this.gateway.metrics.firstByte(this.route.name(), now - this.arrivedAt);
 		if (this.attempt != null) {
 			String id = this.attempt.worker().info().id();
-			this.gateway.engineTimes(this.upstream).recordTimeToFirstEvent(now - Math.max(this.arrivedAt, this.placing.reservedAt()));
+			this.gateway.engineTimes(this.upstream)
+				.recordTimeToFirstEvent(now - Math.max(this.arrivedAt, this.placing.reservedAt()));
 			this.gateway.roster.outlierDetector(this.upstream).succeeded(id, now - this.attemptStartedAt, now);
 			this.attempt.worker().recordOutcome(false);
 		}
@@ -195,7 +196,8 @@
 		this.gateway.metrics.answered(this.route.name(), this.admitted.customerName(), now - this.arrivedAt);
 		PromptInfo p = this.request.prompt();
 		if (forwarded && p != null && this.request.lastEventId() == null) {
-			this.gateway.engineTimes(this.upstream).recordResponse(now - this.progress.firstByteAt(), p, receivedTokens());
+			this.gateway.engineTimes(this.upstream)
+				.recordResponse(now - this.progress.firstByteAt(), p, receivedTokens());
 		}
 		log(now, "answered status=" + head.status() + timingFields());
 		endAttempt();
@@ -330,7 +332,8 @@
 		cancelAttempt();
 		refundQuota(r);
 		this.gateway.metrics.refused(r.reason(), this.admitted.customerName());
-		log(now, "refused status=" + r.status() + " reason=" + r.reason().code() + " retry-after-ms=" + r.retryAfterMs());
+		log(now, "refused status=" + r.status() + " reason=" + r.reason().code() + " retry-after-ms="
+				+ r.retryAfterMs());
 		finish();
 		this.response.refuse(r);
 	}
--- a/src/main/java/io/shallotspur/gateway/RequestAdmission.java
+++ b/src/main/java/io/shallotspur/gateway/RequestAdmission.java
@@ -118,8 +118,8 @@
 
 	private void chargeQuota(RouteTable t, Route r, @Nullable Customer c, long now) {
 		double cost = (c != null) ? quotaCost(c) : 0;
-		long refillMs = (c != null) ? this.gateway.quotas.charge(c, cost, QuotaShare.of(this.gateway.entryVms, now), now)
-				: 0;
+		long refillMs = (c != null)
+				? this.gateway.quotas.charge(c, cost, QuotaShare.of(this.gateway.entryVms, now), now) : 0;
 		if (refillMs > 0) {
 			long retryAfterMs = RetryAfter.refillDelayMs(refillMs, this.request.callerTimeoutMs(),
 					this.gateway.random.next());
@@ -157,8 +157,8 @@
 		long version = this.gateway.routeTable().map(RouteTable::version).orElse(0L);
 		this.gateway.log.write(now,
 				() -> "id=" + this.request.id() + " customer=" + customer + " refused status=" + refusal.status()
-						+ " reason=" + refusal.reason().code() + " retry-after-ms=" + refusal.retryAfterMs() + " config="
-						+ version);
+						+ " reason=" + refusal.reason().code() + " retry-after-ms=" + refusal.retryAfterMs()
+						+ " config=" + version);
 		this.response.refuse(refusal);
 	}
 
--- a/src/main/java/io/shallotspur/gateway/ServingVmSelector.java
+++ b/src/main/java/io/shallotspur/gateway/ServingVmSelector.java
@@ -11,8 +11,7 @@
  * callers were spread over a hundred VMs, each would see one request in a hundred: it
  * would know neither which workers are full nor which request is next, would learn the
  * speed of the engines only by the end of the day, and would keep connections to every
- * worker.
- * Callers are therefore directed to a few VMs, and the others are standby.
+ * worker. Callers are therefore directed to a few VMs, and the others are standby.
  * <p>
  * All VMs with the same view of the registrations select the same VMs: the largest of
  * each hall, in an order that changes only with the registrations. VMs are added until
--- a/src/test/java/io/shallotspur/gateway/FakeWorkers.java
+++ b/src/test/java/io/shallotspur/gateway/FakeWorkers.java
@@ -83,8 +83,8 @@
 		}
 
 		void rejectNotRun() {
-			this.listener
-				.onHead(new ResponseHead(503, List.of(), ResponseAuthenticity.UNSIGNED, true, false, WorkerStatus.NONE));
+			this.listener.onHead(
+					new ResponseHead(503, List.of(), ResponseAuthenticity.UNSIGNED, true, false, WorkerStatus.NONE));
 		}
 
 		void rejectReplaced() {
--- a/src/test/java/io/shallotspur/gateway/GatewayFixture.java
+++ b/src/test/java/io/shallotspur/gateway/GatewayFixture.java
@@ -95,14 +95,14 @@
 
 	void restart(WorkerInfo w) {
 		this.gateway.roster()
-			.updateEntry(new WorkerInfo(w.id(), w.upstream(), w.host(), w.port(), w.hall(), w.slots(), w.stage(), false, 0,
-					w.startedAt() + 1), this.timer.now());
+			.updateEntry(new WorkerInfo(w.id(), w.upstream(), w.host(), w.port(), w.hall(), w.slots(), w.stage(), false,
+					0, w.startedAt() + 1), this.timer.now());
 	}
 
 	void drain(WorkerInfo w) {
 		this.gateway.roster()
-			.updateEntry(new WorkerInfo(w.id(), w.upstream(), w.host(), w.port(), w.hall(), w.slots(), w.stage(), true, 0,
-					w.startedAt()), this.timer.now());
+			.updateEntry(new WorkerInfo(w.id(), w.upstream(), w.host(), w.port(), w.hall(), w.slots(), w.stage(), true,
+					0, w.startedAt()), this.timer.now());
 	}
 
 	Call call(String route) {
