--- a/src/main/java/io/shallotspur/cell/JobFlow.java
+++ b/src/main/java/io/shallotspur/cell/JobFlow.java
@@ -51,8 +51,8 @@
 		this.jobs = jobs;
 		this.queue = queue;
 		this.timers = timers;
-		this.budget = new RetryBudget(
-				new RetryBudgetSettings(settings.retryRatio(), settings.retryReserve(), RETRY_WINDOW_MS, MAX_CUSTOMERS));
+		this.budget = new RetryBudget(new RetryBudgetSettings(settings.retryRatio(), settings.retryReserve(),
+				RETRY_WINDOW_MS, MAX_CUSTOMERS));
 		this.random = new Random(seed);
 	}
 
--- a/src/main/java/io/shallotspur/cell/Placer.java
+++ b/src/main/java/io/shallotspur/cell/Placer.java
@@ -123,7 +123,8 @@
 		double tail = Double.MAX_VALUE;
 		for (DecodeWorker d : this.fleet.decode()) {
 			if (!d.isDraining()) {
-				tail = Math.min(tail, d.predictTransferMs(job.promptTokens()) + STEPS_TO_FIRST_TOKEN * d.predictStepMs(d.heldSlots() + 1));
+				tail = Math.min(tail, d.predictTransferMs(job.promptTokens())
+						+ STEPS_TO_FIRST_TOKEN * d.predictStepMs(d.heldSlots() + 1));
 			}
 		}
 		return cheapestMs(job) + ((tail == Double.MAX_VALUE) ? 0 : tail);
@@ -179,8 +180,8 @@
 	 * @return the worker, or {@code null} if none will do
 	 */
 	@Nullable DecodeWorker transferTarget(Job job, boolean urgent) {
-		return best(job,
-				(d) -> d.freeSlots(tbt(job)) >= 1 && (urgent || d.isLinkIdle()) && (!job.suspect || d.suspectCount() == 0));
+		return best(job, (d) -> d.freeSlots(tbt(job)) >= 1 && (urgent || d.isLinkIdle())
+				&& (!job.suspect || d.suspectCount() == 0));
 	}
 
 	private @Nullable DecodeWorker best(Job job, Predicate<DecodeWorker> fits) {
@@ -202,7 +203,8 @@
 
 	// Whether the request would have been late here even if it had started on arrival.
 	private static boolean alwaysLate(Job job, DecodeWorker d, double prefillMs) {
-		double first = prefillMs + d.predictTransferMs(job.promptTokens()) + STEPS_TO_FIRST_TOKEN * d.predictStepMs(d.heldSlots() + 1);
+		double first = prefillMs + d.predictTransferMs(job.promptTokens())
+				+ STEPS_TO_FIRST_TOKEN * d.predictStepMs(d.heldSlots() + 1);
 		return job.request.arrivedAt() + first > job.dueAt();
 	}
 
--- a/src/main/java/io/shallotspur/gateway/RelayTask.java
+++ b/src/main/java/io/shallotspur/gateway/RelayTask.java
@@ -8,20 +8,20 @@
 import io.shallotspur.route.UpstreamSpec;
 
 /**
- * One request on its way: places it, judges each attempt's end and answers the caller.
- * Not thread-safe; confined to the gateway's thread.
+ * Relays one admitted request: selects workers, runs attempts, decides on retries and
+ * responds to the caller. Not thread-safe; confined to the gateway's thread.
  * <p>
- * Invariants: the caller is answered once; a request that may have run is never answered
- * as not run, and is sent again only if a second run does no harm.
+ * Invariants: the caller gets one response; a request that may have run is never reported
+ * as not run, and is sent again only if running it twice is harmless.
  */
 final class RelayTask implements Attempt.Listener, RequestPlacement.Callback {
 
-	// The worker stops by itself at the end of its time; its own answer is worth waiting
-	// for a little, ms. Answers cross a hall in a few ms.
+	// The worker enforces the deadline itself. Its own response is worth a short wait,
+	// ms: a response crosses a hall in a few ms.
 	private static final long WORKER_TIMEOUT_SLACK_MS = 60;
 
-	// With less time than this left no worker can answer, ms: the fastest answer takes
-	// two crossings and a few ms of work.
+	// With less time left no worker can respond, ms: the fastest response takes two
+	// network crossings and a few ms of work.
 	private static final long MIN_ATTEMPT_MS = 10;
 
 	private final Gateway gateway;
@@ -59,25 +59,25 @@
 
 	private boolean finished;
 
-	RelayTask(Gateway g, AdmittedRequest admitted, CallerResponse answer, long arrivedAt) {
-		this.gateway = g;
+	RelayTask(Gateway gateway, AdmittedRequest admitted, CallerResponse response, long arrivedAt) {
+		this.gateway = gateway;
 		this.admitted = admitted;
 		this.route = admitted.route();
 		this.request = admitted.request();
-		this.response = answer;
+		this.response = response;
 		this.arrivedAt = arrivedAt;
 		this.deadline = arrivedAt + Math.min(this.request.callerTimeoutMs(), this.route.timeoutMs());
-		this.upstream = this.route.chooseUpstream(g.random.next());
+		this.upstream = this.route.chooseUpstream(gateway.random.next());
 		UpstreamSpec spec = admitted.routeTable().upstream(this.upstream).orElse(null);
 		this.progress = new ResponseProgress((spec != null) ? spec.engine() : null, this.request.lastEventId());
-		this.placing = new RequestPlacement(g, admitted, this.upstream, spec, this, arrivedAt, this.deadline);
+		this.placing = new RequestPlacement(gateway, admitted, this.upstream, spec, this, arrivedAt, this.deadline);
 	}
 
 	void start(long now) {
 		this.gateway.retryBudget.recordFirstAttempt(this.upstream, now);
-		long callerLeft = this.request.callerTimeoutMs() - (this.deadline - this.arrivedAt);
-		long slack = Math.min(WORKER_TIMEOUT_SLACK_MS, callerLeft);
-		this.cancelDeadline = this.gateway.timer.schedule(this.deadline + slack - now, this::onDeadline);
+		long callerSlackMs = this.request.callerTimeoutMs() - (this.deadline - this.arrivedAt);
+		long slackMs = Math.min(WORKER_TIMEOUT_SLACK_MS, callerSlackMs);
+		this.cancelDeadline = this.gateway.timer.schedule(this.deadline + slackMs - now, this::onDeadline);
 		if (this.request.prompt() != null) {
 			this.gateway.engineTimes(this.upstream).recordRequest(this.request.prompt());
 		}
@@ -91,7 +91,7 @@
 		this.gateway.recordSent(w, now);
 		if (w.inGracePeriod()) {
 			this.gateway.metrics.sentToVanished();
-			log("sent to vanished worker=" + w.info().id(), now);
+			log("sent to worker without a registration (grace period) worker=" + w.info().id(), now);
 		}
 		this.gateway.roster.outlierDetector(this.upstream).recordStart(w.info().id(), now);
 		Attempt a = new Attempt(this, w, this.route.kind() == RouteKind.STREAM, this.responseStarted);
@@ -114,10 +114,10 @@
 
 	@Override
 	public boolean mayRetryPrefill(long now) {
-		AttemptHistory before = this.history;
-		boolean may = mayContinueAfterRefusedPrefill(now);
-		this.history = may ? this.history : before;
-		return may;
+		AttemptHistory previous = this.history;
+		boolean allowed = mayContinueAfterRefusedPrefill(now);
+		this.history = allowed ? this.history : previous;
+		return allowed;
 	}
 
 	@Override
@@ -131,8 +131,8 @@
 	}
 
 	@Override
-	public void log(String what, long now) {
-		log(now, what);
+	public void log(String text, long now) {
+		log(now, text);
 	}
 
 	@Override
@@ -188,21 +188,21 @@
 	}
 
 	@Override
-	public void onSuccess(ResponseHead head, byte[] body, boolean inParts) {
+	public void onSuccess(ResponseHead head, byte[] body, boolean forwarded) {
 		long now = this.gateway.clock.getAsLong();
-		if (!inParts) {
+		if (!forwarded) {
 			firstByte();
 		}
 		this.gateway.metrics.answered(this.route.name(), this.admitted.customerName(), now - this.arrivedAt);
 		PromptInfo p = this.request.prompt();
-		if (inParts && p != null && this.request.lastEventId() == null) {
+		if (forwarded && p != null && this.request.lastEventId() == null) {
 			this.gateway.engineTimes(this.upstream)
 				.recordResponse(now - this.progress.firstByteAt(), p, receivedTokens());
 		}
 		log(now, "answered status=" + head.status() + timingFields());
 		endAttempt();
 		finish();
-		if (inParts) {
+		if (forwarded) {
 			this.response.complete();
 		}
 		else {
@@ -215,7 +215,7 @@
 		long now = this.gateway.clock.getAsLong();
 		this.history = this.history.with(end);
 		this.gateway.metrics.attemptEnded(end);
-		note(end, now);
+		recordFailure(end, now);
 		NextStep next = this.history.nextStep(end, mayRetry(end, now));
 		log(now, "attempt=" + end + " seen=\"" + reason + "\" next=" + next);
 		endAttempt();
@@ -229,7 +229,7 @@
 		}
 	}
 
-	private void note(AttemptOutcome end, long now) {
+	private void recordFailure(AttemptOutcome end, long now) {
 		if (this.attempt == null) {
 			return;
 		}
@@ -257,7 +257,8 @@
 		if (this.deadline - now < MIN_ATTEMPT_MS || !this.placing.hasCandidates(now)) {
 			return false;
 		}
-		// What never left this VM has arrived nowhere, so it takes nothing of the budget.
+		// A request that never left this VM put no load on a worker and does not use the
+		// retry budget.
 		return end == AttemptOutcome.NOT_SENT
 				|| this.gateway.retryBudget.tryAcquire(this.upstream, this.gateway.entryVms, now);
 	}
@@ -270,10 +271,10 @@
 		};
 	}
 
-	// Where the time went, counted from the arrival, ms.
+	// Timestamps relative to the arrival, and the longest pause between two events, ms.
 	private String timingFields() {
-		long held = Math.max(this.arrivedAt, this.placing.reservedAt());
-		return " tokens=" + this.placing.requiredTokens() + " held-ms=" + (held - this.arrivedAt) + " sent-ms="
+		long reservedAt = Math.max(this.arrivedAt, this.placing.reservedAt());
+		return " tokens=" + this.placing.requiredTokens() + " held-ms=" + (reservedAt - this.arrivedAt) + " sent-ms="
 				+ (this.attemptStartedAt - this.arrivedAt) + " first-ms="
 				+ (this.progress.firstByteAt() - this.arrivedAt) + " pause-ms=" + this.progress.longestPauseMs();
 	}
@@ -301,17 +302,17 @@
 	}
 
 	private long retryAfterMs(RefusalReason reason, long now) {
-		double draw = this.gateway.random.next();
-		long left = this.request.callerTimeoutMs() - (now - this.arrivedAt);
+		double random = this.gateway.random.next();
+		long remainingMs = this.request.callerTimeoutMs() - (now - this.arrivedAt);
 		if (reason == RefusalReason.WORKERS_LIMITED) {
-			return RetryAfter.refillDelayMs(this.placing.rateLimitWaitMs(now), left, draw);
+			return RetryAfter.refillDelayMs(this.placing.rateLimitWaitMs(now), remainingMs, random);
 		}
-		boolean late = now > this.placing.latestStart();
-		boolean known = this.request.callerTimeoutMs() != Long.MAX_VALUE;
-		if (late && known && this.route.kind() == RouteKind.STREAM) {
-			return Math.max(1, RetryAfter.lateDelayMs(left, this.placing.generationMs(), draw));
+		boolean tooLate = now > this.placing.latestStart();
+		boolean hasTimeout = this.request.callerTimeoutMs() != Long.MAX_VALUE;
+		if (tooLate && hasTimeout && this.route.kind() == RouteKind.STREAM) {
+			return Math.max(1, RetryAfter.lateDelayMs(remainingMs, this.placing.generationMs(), random));
 		}
-		return RetryAfter.delayMs(this.route, draw);
+		return RetryAfter.delayMs(this.route, random);
 	}
 
 	private void onDeadline() {
@@ -337,7 +338,7 @@
 		this.response.refuse(r);
 	}
 
-	// What has not run is not charged: the caller is told to come back, and would pay
+	// A request that has not run is refunded: the caller is told to retry and would pay
 	// twice.
 	private void refundQuota(RelayRefusal r) {
 		Customer c = this.admitted.customer();
@@ -383,21 +384,21 @@
 		}
 	}
 
-	// Comes before the answer: the end of a connection that closes with its answer must
-	// not be taken for a caller who has left.
+	// Called before the response is sent: closing the connection after the response must
+	// not be taken for a caller that disconnected.
 	private void finish() {
 		this.finished = true;
 		this.cancelDeadline.run();
 		this.gateway.requestFinished();
 	}
 
-	private void log(long now, String what) {
+	private void log(long now, String text) {
 		String worker = (this.attempt != null) ? this.attempt.worker().info().id() : "none";
 		this.gateway.log.write(now,
 				() -> "id=" + this.request.id() + " route=" + this.route.name() + " upstream=" + this.upstream
 						+ " customer=" + this.admitted.customerName() + " worker=" + worker + " config="
 						+ this.admitted.routeTable().version() + " sends=" + this.history.sentCount() + " ms="
-						+ (now - this.arrivedAt) + " " + what);
+						+ (now - this.arrivedAt) + " " + text);
 	}
 
 }
--- a/src/main/java/io/shallotspur/plain/StdPlainScheduler.java
+++ b/src/main/java/io/shallotspur/plain/StdPlainScheduler.java
@@ -73,8 +73,8 @@
 		this.settings = settings;
 		this.contracts = contracts;
 		this.queue = new FairQueue<>(this::share);
-		this.budget = new RetryBudget(
-				new RetryBudgetSettings(settings.retryRatio(), settings.retryReserve(), RETRY_WINDOW_MS, MAX_CUSTOMERS));
+		this.budget = new RetryBudget(new RetryBudgetSettings(settings.retryRatio(), settings.retryReserve(),
+				RETRY_WINDOW_MS, MAX_CUSTOMERS));
 	}
 
 	@Override
--- a/src/main/java/io/shallotspur/retry/OutlierDetectionSettings.java
+++ b/src/main/java/io/shallotspur/retry/OutlierDetectionSettings.java
@@ -21,6 +21,7 @@
 	 * Three failures or eight times the median latency; at most half of the workers; from
 	 * one second up to thirty.
 	 */
-	public static final OutlierDetectionSettings DEFAULT = new OutlierDetectionSettings(3, 8, 20, 0.5, 1_000, 30_000, 2);
+	public static final OutlierDetectionSettings DEFAULT = new OutlierDetectionSettings(3, 8, 20, 0.5, 1_000, 30_000,
+			2);
 
 }
--- a/src/main/java/io/shallotspur/routing/PrefillWorker.java
+++ b/src/main/java/io/shallotspur/routing/PrefillWorker.java
@@ -135,7 +135,8 @@
 		if (this.prefixIndex.hasRoom(blocks.length)) {
 			return 0;
 		}
-		return this.fit.slope() * BLOCK_TOKENS * this.prefixIndex.pushedOut(blocks, this.prefixIndex.match(blocks), since);
+		return this.fit.slope() * BLOCK_TOKENS
+				* this.prefixIndex.pushedOut(blocks, this.prefixIndex.match(blocks), since);
 	}
 
 	/**
--- a/src/main/java/io/shallotspur/stage/StageChangeTask.java
+++ b/src/main/java/io/shallotspur/stage/StageChangeTask.java
@@ -60,8 +60,8 @@
 
 	private long startedAt;
 
-	StageChangeTask(Leadership duty, StagePort port, GatewayTimer timer, LongSupplier clock, String vm, WorkerInfo worker,
-			WorkerStage stage, long heardByAllMs, Consumer<Boolean> then) {
+	StageChangeTask(Leadership duty, StagePort port, GatewayTimer timer, LongSupplier clock, String vm,
+			WorkerInfo worker, WorkerStage stage, long heardByAllMs, Consumer<Boolean> then) {
 		this.duty = duty;
 		this.port = port;
 		this.timer = timer;
@@ -163,8 +163,8 @@
 	private void order(long accepted) {
 		this.orders++;
 		StageOrder o = new StageOrder(this.worker, this.stage, this.vm, this.duty.fencingToken(), accepted);
-		Logger.info("[stage] order worker={} stage={} fence={} expected={}", this.worker.id(), this.stage, o.fencingToken(),
-				accepted);
+		Logger.info("[stage] order worker={} stage={} fence={} expected={}", this.worker.id(), this.stage,
+				o.fencingToken(), accepted);
 		this.port.order(o).subscribe(this::taken, (ex) -> {
 			Logger.info("[stage] order without answer worker={} seen=\"{}\"", this.worker.id(), ex.toString());
 			lookLater();
--- a/src/main/java/io/shallotspur/stage/StageOrder.java
+++ b/src/main/java/io/shallotspur/stage/StageOrder.java
@@ -10,9 +10,10 @@
  * @param stage what it is to do
  * @param holder the VM that gives the order
  * @param fencingToken the fencing number of the VM's duty
- * @param expectedOrderCount the orders that the worker has accepted; with a different number
- * it refuses, so that an order which arrives late changes nothing
+ * @param expectedOrderCount the orders that the worker has accepted; with a different
+ * number it refuses, so that an order which arrives late changes nothing
  */
-public record StageOrder(WorkerInfo worker, WorkerStage stage, String holder, long fencingToken, long expectedOrderCount) {
+public record StageOrder(WorkerInfo worker, WorkerStage stage, String holder, long fencingToken,
+		long expectedOrderCount) {
 
 }
--- a/src/test/java/io/shallotspur/gateway/FakeWorkers.java
+++ b/src/test/java/io/shallotspur/gateway/FakeWorkers.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * Workers whose answers the test gives by hand.
+ * Workers that record all calls and respond when the test says so.
  */
 final class FakeWorkers implements WorkerPort {
 
@@ -43,8 +43,8 @@
 	}
 
 	@Override
-	public void cancelReservation(WorkerInfo worker, String hold) {
-		this.cancelledReservations.add(hold);
+	public void cancelReservation(WorkerInfo worker, String reservation) {
+		this.cancelledReservations.add(reservation);
 	}
 
 	Run lastRun() {
--- a/src/test/java/io/shallotspur/gateway/GatewayFixture.java
+++ b/src/test/java/io/shallotspur/gateway/GatewayFixture.java
@@ -20,10 +20,10 @@
 import io.shallotspur.route.UpstreamSpec;
 
 /**
- * A gateway with hand-driven workers, callers and time. Routes: {@code /safe/},
- * {@code /unsafe/} and {@code /open/} (needs no key) to the plain upstream,
- * {@code /once/} (one attempt) and {@code /resume/} (two, resumable) to the model
- * upstream.
+ * A gateway with fake workers, fake callers and manual time. Routes: {@code /safe/},
+ * {@code /unsafe/} and {@code /open/} (no key required) to the plain upstream,
+ * {@code /once/} (one attempt) and {@code /resume/} (two attempts, resumable) to the
+ * model upstream.
  */
 final class GatewayFixture {
 
@@ -37,7 +37,7 @@
 
 	final MetricRegistry metrics = new MetricRegistry();
 
-	// By how much the time of day has moved against the steady clock, ms.
+	// Offset of the wall clock from the monotonic clock, ms.
 	long wallClockOffsetMs;
 
 	final Gateway gateway;
--- a/src/test/java/io/shallotspur/gateway/NopWorkers.java
+++ b/src/test/java/io/shallotspur/gateway/NopWorkers.java
@@ -1,7 +1,7 @@
 package io.shallotspur.gateway;
 
 /**
- * Workers that never answer.
+ * Workers that never respond.
  */
 public class NopWorkers implements WorkerPort {
 
@@ -26,7 +26,7 @@
 	}
 
 	@Override
-	public void cancelReservation(WorkerInfo worker, String hold) {
+	public void cancelReservation(WorkerInfo worker, String reservation) {
 	}
 
 }
--- a/src/test/java/io/shallotspur/stage/StageRebalancerTests.java
+++ b/src/test/java/io/shallotspur/stage/StageRebalancerTests.java
@@ -36,8 +36,8 @@
 import io.shallotspur.route.UpstreamSpec;
 
 /**
- * Tests of {@link StageRebalancer} and {@link StageChangeTask}: three workers that prefill and
- * three that decode, of which one too many prefills.
+ * Tests of {@link StageRebalancer} and {@link StageChangeTask}: three workers that
+ * prefill and three that decode, of which one too many prefills.
  */
 class StageRebalancerTests {
 
