--- a/src/test/java/io/shallotspur/platform/StoreDouble.java
+++ b/src/test/java/io/shallotspur/platform/FakeStore.java
@@ -31,7 +31,7 @@
  * from an older copy, small pages, answers that are not JSON. Leases of entry VMs end by
  * themselves. Thread-safe: methods hold its monitor.
  */
-public final class StoreDouble {
+public final class FakeStore {
 
 	private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -65,7 +65,7 @@
 
 	private Copy copy = new Copy(Map.of(), List.of(), Set.of(), 1);
 
-	public StoreDouble() {
+	public FakeStore() {
 		this.server = HttpServer.create()
 			.host("127.0.0.1")
 			.port(0)
@@ -87,11 +87,11 @@
 		return this.ranges.get();
 	}
 
-	public synchronized void away(boolean yes) {
+	public synchronized void setUnavailable(boolean yes) {
 		this.away = yes;
 	}
 
-	public synchronized void nonsense(boolean yes) {
+	public synchronized void setMalformedResponses(boolean yes) {
 		this.nonsense = yes;
 	}
 
@@ -105,13 +105,13 @@
 	}
 
 	/** Makes the copy from which the store can come back. */
-	public synchronized void copy() {
+	public synchronized void takeSnapshot() {
 		this.copy = new Copy(Map.copyOf(this.items), List.copyOf(this.events), Set.copyOf(this.leases.keySet()),
 				this.revision);
 	}
 
 	/** Comes back from the copy: all that was written since is lost, leases too. */
-	public synchronized void restore() {
+	public synchronized void restoreSnapshot() {
 		this.items.clear();
 		this.items.putAll(this.copy.items());
 		this.events.clear();
@@ -130,7 +130,7 @@
 		this.era = next;
 	}
 
-	public synchronized boolean has(String prefix) {
+	public synchronized boolean hasKeyWithPrefix(String prefix) {
 		return this.items.keySet().stream().anyMatch((k) -> k.startsWith(prefix));
 	}
 
--- a/src/test/java/io/shallotspur/platform/PlatformPathTests.java
+++ b/src/test/java/io/shallotspur/platform/PlatformPathTests.java
@@ -31,7 +31,7 @@
 
 	private static final Duration LIMIT = Duration.ofSeconds(20);
 
-	private final StoreDouble store = new StoreDouble();
+	private final FakeStore store = new FakeStore();
 
 	private final WorkerDouble p1 = new WorkerDouble("p1", "");
 
@@ -52,7 +52,7 @@
 		this.store.put("servers/p2", this.p2.entry("plain", "ready"));
 		this.store.put("servers/d1", this.d1.entry("llm", "ready"));
 		this.store.put("servers/f1", this.f1.entry("llm", "ready"));
-		this.store.copy();
+		this.store.takeSnapshot();
 		this.vm = new PlatformVm(settings(this.store.address()));
 		this.vm.start();
 		await(() -> status(this.vm.readyPort(), "/api/readiness") == 200);
@@ -314,11 +314,11 @@
 
 	@Test
 	void goesOnWhileTheStoreIsAwayAndCatchesUp() {
-		this.store.away(true);
+		this.store.setUnavailable(true);
 		Assertions.assertThat(send(request("/safe/x").build()).statusCode()).isEqualTo(200);
 		this.store.put("op/config", config(9).replace("/safe/", "/moved/"));
 		this.store.dropHistory();
-		this.store.away(false);
+		this.store.setUnavailable(false);
 		await(() -> send(request("/moved/x").build()).statusCode() == 200);
 	}
 
@@ -332,10 +332,10 @@
 
 	@Test
 	void anAnswerThatIsNotJsonCountsAsNone() {
-		this.store.nonsense(true);
+		this.store.setMalformedResponses(true);
 		this.store.put("op/config", config(9).replace("/safe/", "/moved/"));
 		Assertions.assertThat(send(request("/safe/x").build()).statusCode()).isEqualTo(200);
-		this.store.nonsense(false);
+		this.store.setMalformedResponses(false);
 		await(() -> send(request("/moved/x").build()).statusCode() == 200);
 	}
 
@@ -343,7 +343,7 @@
 	// at once and finish what it has begun.
 	@Test
 	void finishesWhatIsInProgressBeforeItLeaves() {
-		await(() -> this.store.has("vms/"));
+		await(() -> this.store.hasKeyWithPrefix("vms/"));
 		this.p1.next.add(this.p1::silent);
 		this.p2.next.add(this.p2::silent);
 		CompletableFuture<HttpResponse<String>> c = this.client.sendAsync(request("/safe/x").build(),
@@ -351,7 +351,7 @@
 		await(() -> this.p1.paths.size() + this.p2.paths.size() == 1);
 		Thread t = new Thread(this.vm::drain);
 		t.start();
-		await(() -> !this.store.has("vms/"));
+		await(() -> !this.store.hasKeyWithPrefix("vms/"));
 		Assertions.assertThat(status(this.vm.readyPort(), "/api/readiness")).isEqualTo(503);
 		Assertions.assertThat(c.join().statusCode()).isEqualTo(504);
 		Assertions.assertThat(c.join().headers().firstValue("Connection")).hasValue("close");
@@ -379,7 +379,7 @@
 		await(() -> this.d1.paths.size() == 1);
 		Thread t = new Thread(this.vm::drain);
 		t.start();
-		await(() -> !this.store.has("vms/"));
+		await(() -> !this.store.hasKeyWithPrefix("vms/"));
 		List<Integer> told = new ArrayList<>();
 		boolean open = true;
 		while (open) {
@@ -432,9 +432,9 @@
 			this.store.put("op/other", "{}");
 		}
 		await(() -> onlyP2(20));
-		this.store.restore();
-		Assertions.assertThat(this.store.has("vms/")).isFalse();
-		await(() -> this.store.has("vms/"));
+		this.store.restoreSnapshot();
+		Assertions.assertThat(this.store.hasKeyWithPrefix("vms/")).isFalse();
+		await(() -> this.store.hasKeyWithPrefix("vms/"));
 		Assertions.assertThat(onlyP2(20)).isTrue();
 		this.store.put("servers/p1", this.p1.entry("plain", "draining"));
 		this.store.put("op/config", config(9).replace("/safe/", "/new/"));
--- a/src/test/java/io/shallotspur/platform/StoreRegistryTests.java
+++ b/src/test/java/io/shallotspur/platform/StoreRegistryTests.java
@@ -25,7 +25,7 @@
 
 	private static final long LEASE = 3;
 
-	private final StoreDouble store = new StoreDouble();
+	private final FakeStore store = new FakeStore();
 
 	private final Loop loop = new Loop();
 
@@ -97,11 +97,11 @@
 	@Test
 	void tellsThatTheStoreWasRestoredBeforeItsAnswerIsTaken() {
 		this.store.put("op/other", "{}");
-		this.store.copy();
+		this.store.takeSnapshot();
 		RegistryNews before = this.registry.list().block();
 		List<Long> restores = restores();
 		this.store.put("op/other", "{}");
-		this.store.restore();
+		this.store.restoreSnapshot();
 		RegistryNews after = this.registry.list().block();
 		Assertions.assertThat(restores).containsExactly(2L);
 		Assertions.assertThat(after.point().compareTo(before.point())).isPositive();
@@ -111,10 +111,10 @@
 	// for something else, and what was written before it is never heard.
 	@Test
 	void aWatchFromAnEarlierEraIsNotGoneOnWith() {
-		this.store.copy();
+		this.store.takeSnapshot();
 		this.store.put("op/a", "{}");
 		RegistryNews before = this.registry.list().block();
-		this.store.restore();
+		this.store.restoreSnapshot();
 		this.store.put("op/b", "{}");
 		this.store.put("op/c", "{}");
 		Assertions.assertThatThrownBy(() -> this.registry.changes(before.point(), 0).block())
@@ -124,24 +124,24 @@
 	// The former holder's revision stands for another holder now.
 	@Test
 	void announcesNothingForAHolderOfAnEarlierEra() {
-		this.store.copy();
+		this.store.takeSnapshot();
 		this.registry.claim("vms/a", LEASE).block();
 		StorePoint fence = fence();
-		this.store.restore();
+		this.store.restoreSnapshot();
 		this.registry.claim("vms/b", LEASE).block();
 		Assertions.assertThat(fence().revision()).isEqualTo(fence.revision());
 		Assertions.assertThat(fence().fence()).isGreaterThan(fence.fence());
 		Assertions.assertThat(this.registry.mark("w1", WorkerStage.DECODE, fence, LEASE).block()).isFalse();
-		Assertions.assertThat(this.store.has(Names.STAGE_PREFIX)).isFalse();
+		Assertions.assertThat(this.store.hasKeyWithPrefix(Names.STAGE_PREFIX)).isFalse();
 	}
 
 	// A lease was got in one era and its number is another VM's in the next: a
 	// registration under it would last as long as that VM does.
 	@Test
 	void aWriteAcrossARestoreDoesNotCountAsDone() {
-		this.store.copy();
+		this.store.takeSnapshot();
 		long lease = this.registry.openLease(3_000).block();
-		this.store.restore();
+		this.store.restoreSnapshot();
 		this.store.reuseLease(lease);
 		EntryVm vm = new EntryVm("vms/a", "10.0.0.1:80", "region-1", "hall-a", 1, false);
 		Assertions.assertThat(this.registry.register(vm, lease).block()).isFalse();
@@ -150,10 +150,10 @@
 	// A configuration of another content has the revision of the one that was decoded.
 	@Test
 	void decodesAConfigurationAnewThatHasTheRevisionOfAnother() {
-		this.store.copy();
+		this.store.takeSnapshot();
 		this.store.put(Names.CONFIG_KEY, config(7));
 		Assertions.assertThat(this.registry.configuration().block().version()).isEqualTo(7);
-		this.store.restore();
+		this.store.restoreSnapshot();
 		this.store.put(Names.CONFIG_KEY, config(8));
 		Assertions.assertThat(this.registry.configuration().block().version()).isEqualTo(8);
 	}
--- a/src/test/java/io/shallotspur/platform/soak/FaultInjector.java
+++ b/src/test/java/io/shallotspur/platform/soak/FaultInjector.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.List;
 
-import io.shallotspur.platform.StoreDouble;
+import io.shallotspur.platform.FakeStore;
 
 /**
  * Makes faults happen, from outside the processes. One VM is struck by one fault of
@@ -27,7 +27,7 @@
 
 	private final List<LoopbackProxy> storeProxies;
 
-	private final StoreDouble store;
+	private final FakeStore store;
 
 	private final Evidence evidence;
 
@@ -35,7 +35,7 @@
 
 	private final Runnable writeAgain;
 
-	FaultInjector(List<VmProcess> vms, List<SoakWorker> workers, List<LoopbackProxy> storeProxies, StoreDouble store,
+	FaultInjector(List<VmProcess> vms, List<SoakWorker> workers, List<LoopbackProxy> storeProxies, FakeStore store,
 			Evidence evidence, Runnable publish, Runnable writeAgain) {
 		this.vms = vms;
 		this.workers = workers;
@@ -145,18 +145,18 @@
 	}
 
 	private void storeAway(Fault f) throws InterruptedException {
-		this.store.away(true);
+		this.store.setUnavailable(true);
 		Thread.sleep(f.forMs());
-		this.store.away(false);
+		this.store.setUnavailable(false);
 	}
 
 	private void storeRestored(Fault f) throws InterruptedException {
-		this.store.copy();
+		this.store.takeSnapshot();
 		Thread.sleep(f.forMs());
-		this.store.away(true);
+		this.store.setUnavailable(true);
 		Thread.sleep(AWAY_MS);
-		this.store.restore();
-		this.store.away(false);
+		this.store.restoreSnapshot();
+		this.store.setUnavailable(false);
 		Thread.sleep(WRITTEN_AGAIN_MS);
 		this.writeAgain.run();
 	}
--- a/src/test/java/io/shallotspur/platform/soak/SoakRun.java
+++ b/src/test/java/io/shallotspur/platform/soak/SoakRun.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
-import io.shallotspur.platform.StoreDouble;
+import io.shallotspur.platform.FakeStore;
 
 /**
  * One run: processes, stand-ins, callers and faults of one seed. Used by one thread.
@@ -42,7 +42,7 @@
 
 	private final Path dir;
 
-	private final StoreDouble store = new StoreDouble();
+	private final FakeStore store = new FakeStore();
 
 	private final SoakKeys keys = new SoakKeys();
 
--- a/src/test/java/io/shallotspur/platform/soak/SoakWorker.java
+++ b/src/test/java/io/shallotspur/platform/soak/SoakWorker.java
@@ -24,7 +24,7 @@
 import reactor.netty.http.server.HttpServerRequest;
 import reactor.netty.http.server.HttpServerResponse;
 
-import io.shallotspur.platform.StoreDouble;
+import io.shallotspur.platform.FakeStore;
 
 /**
  * A stand-in for a worker that keeps the platform's protocol: places, reservations, KV
@@ -50,7 +50,7 @@
 
 	private final int number;
 
-	private final StoreDouble store;
+	private final FakeStore store;
 
 	private final Evidence evidence;
 
@@ -66,7 +66,7 @@
 	// Entries that were removed; a store that comes back from a copy may have them again.
 	private final Set<String> removed = ConcurrentHashMap.newKeySet();
 
-	SoakWorker(String upstream, int number, String stage, StoreDouble store, Evidence evidence,
+	SoakWorker(String upstream, int number, String stage, FakeStore store, Evidence evidence,
 			Map<String, String> caches) throws IOException {
 		this.upstream = upstream;
 		this.number = number;
