--- a/src/main/java/io/shallotspur/gateway/Admitted.java
+++ b/src/main/java/io/shallotspur/gateway/AdmittedRequest.java
@@ -10,12 +10,12 @@
  * A request that may run, and on what terms. Immutable.
  *
  * @param request the request
- * @param table the configuration that it was judged by
+ * @param routeTable the configuration that it was judged by
  * @param route its route
  * @param customer whose it is, or {@code null} if callers need no key there
- * @param cost what it has taken of the customer's quota, in the quota's units
+ * @param quotaCost what it has taken of the customer's quota, in the quota's units
  */
-record Admitted(RelayRequest request, RouteTable table, Route route, @Nullable Customer customer, double cost) {
+record AdmittedRequest(RelayRequest request, RouteTable routeTable, Route route, @Nullable Customer customer, double quotaCost) {
 
 	int priority() {
 		return (this.customer != null) ? this.customer.priorityOn(this.route) : this.route.priority();
--- a/src/main/java/io/shallotspur/gateway/Attempt.java
+++ b/src/main/java/io/shallotspur/gateway/Attempt.java
@@ -9,7 +9,7 @@
  * One request at one worker: judges what comes back and hands on what can be trusted. Not
  * thread-safe; confined to the gateway's thread.
  * <p>
- * Invariant: of {@link Sink#succeeded} and {@link Sink#failed} exactly one is called,
+ * Invariant: of {@link Listener#onSuccess} and {@link Listener#onFailure} exactly one is called,
  * once, unless the attempt is cancelled.
  */
 final class Attempt implements ExchangeListener {
@@ -17,9 +17,9 @@
 	// Answers up to this size are held until they are whole, so that a cut one can
 	// still be replaced by another worker's answer or by a true error, bytes. Measured
 	// answers of plain services stay below 8 KB.
-	private static final int HELD_BYTES = 256 << 10;
+	private static final int MAX_BUFFERED_BYTES = 256 << 10;
 
-	private final Sink sink;
+	private final Listener listener;
 
 	private final WorkerState worker;
 
@@ -27,19 +27,19 @@
 
 	private final boolean resumed;
 
-	private final ByteArrayOutputStream held = new ByteArrayOutputStream();
+	private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
 
 	private final EventSplitter events = new EventSplitter();
 
-	private final Runnable onWorkerEnd = () -> onFailure(new ExchangeFailure(true, "worker started again"));
+	private final Runnable onWorkerRestart = () -> onFailure(new ExchangeFailure(true, "worker started again"));
 
-	private @Nullable AnswerHead head;
+	private @Nullable ResponseHead head;
 
 	private @Nullable Exchange exchange;
 
-	private boolean begun;
+	private boolean responseStarted;
 
-	private boolean over;
+	private boolean done;
 
 	/**
 	 * Creates an attempt.
@@ -48,19 +48,19 @@
 	 * @param stream whether a success is a stream of events
 	 * @param resumed whether the caller already has the beginning of the stream
 	 */
-	Attempt(Sink sink, WorkerState worker, boolean stream, boolean resumed) {
-		this.sink = sink;
+	Attempt(Listener sink, WorkerState worker, boolean stream, boolean resumed) {
+		this.listener = sink;
 		this.worker = worker;
 		this.stream = stream;
 		this.resumed = resumed;
-		this.begun = resumed;
+		this.responseStarted = resumed;
 	}
 
 	void send(WorkerPort port, WorkerCall call) {
-		this.worker.whenEnded(this.onWorkerEnd);
+		this.worker.whenEnded(this.onWorkerRestart);
 		Exchange e = port.run(call, this);
 		this.exchange = e;
-		if (this.over) {
+		if (this.done) {
 			e.cancel();
 		}
 	}
@@ -73,135 +73,135 @@
 	 * Gives the attempt up; the worker is to stop.
 	 */
 	void cancel() {
-		end();
+		finish();
 		if (this.exchange != null) {
 			this.exchange.cancel();
 		}
 	}
 
 	@Override
-	public void onHead(AnswerHead h) {
-		if (this.over) {
+	public void onHead(ResponseHead h) {
+		if (this.done) {
 			return;
 		}
 		this.head = h;
-		this.sink.head(h);
-		if (h.origin() == AnswerOrigin.FOREIGN) {
+		this.listener.onHead(h);
+		if (h.authenticity() == ResponseAuthenticity.MISMATCHED) {
 			fail(AttemptEnd.UNKNOWN, "foreign answer");
 		}
 		else if (h.notRun()) {
 			fail(AttemptEnd.NOT_RUN, "status " + h.status());
 		}
-		else if (h.success() && h.origin() != AnswerOrigin.SIGNED) {
+		else if (h.isSuccess() && h.authenticity() != ResponseAuthenticity.SIGNED) {
 			fail(AttemptEnd.UNKNOWN, "unsigned success");
 		}
 	}
 
 	@Override
 	public void onBytes(byte[] bytes) {
-		AnswerHead h = this.head;
-		if (this.over || h == null) {
+		ResponseHead h = this.head;
+		if (this.done || h == null) {
 			return;
 		}
-		if (this.stream && h.success()) {
-			onEvents(h, this.events.add(bytes));
+		if (this.stream && h.isSuccess()) {
+			onEvents(h, this.events.append(bytes));
 		}
 		else {
-			hold(h, bytes);
+			bufferOrForward(h, bytes);
 		}
 	}
 
-	private void onEvents(AnswerHead h, List<byte[]> whole) {
+	private void onEvents(ResponseHead h, List<byte[]> whole) {
 		for (byte[] event : whole) {
-			begin(h);
-			this.sink.event(event);
+			startResponse(h);
+			this.listener.onEvent(event);
 		}
-		if (this.events.tooLong()) {
+		if (this.events.exceedsMaxSize()) {
 			fail(AttemptEnd.UNKNOWN, "event too long");
 		}
 	}
 
-	private void hold(AnswerHead h, byte[] bytes) {
-		if (this.begun) {
-			this.sink.bytes(bytes);
+	private void bufferOrForward(ResponseHead h, byte[] bytes) {
+		if (this.responseStarted) {
+			this.listener.onBytes(bytes);
 			return;
 		}
-		this.held.writeBytes(bytes);
-		if (this.held.size() > HELD_BYTES) {
-			begin(h);
-			this.sink.bytes(this.held.toByteArray());
-			this.held.reset();
+		this.buffer.writeBytes(bytes);
+		if (this.buffer.size() > MAX_BUFFERED_BYTES) {
+			startResponse(h);
+			this.listener.onBytes(this.buffer.toByteArray());
+			this.buffer.reset();
 		}
 	}
 
-	private void begin(AnswerHead h) {
-		if (!this.begun) {
-			this.begun = true;
-			this.sink.begin(h);
+	private void startResponse(ResponseHead h) {
+		if (!this.responseStarted) {
+			this.responseStarted = true;
+			this.listener.onResponseStart(h);
 		}
 	}
 
 	@Override
 	public void onEnd() {
-		AnswerHead h = this.head;
-		if (this.over || h == null) {
+		ResponseHead h = this.head;
+		if (this.done || h == null) {
 			return;
 		}
-		if (this.events.midEvent()) {
+		if (this.events.hasPartialEvent()) {
 			fail(AttemptEnd.UNKNOWN, "ended within an event");
 		}
-		else if (!h.success() && (h.origin() != AnswerOrigin.SIGNED || this.resumed)) {
+		else if (!h.isSuccess() && (h.authenticity() != ResponseAuthenticity.SIGNED || this.resumed)) {
 			fail(AttemptEnd.UNKNOWN, "status " + h.status());
 		}
-		else if (!h.success()) {
-			end();
-			this.sink.failed(AttemptEnd.FAILED, "status " + h.status(), h, this.held.toByteArray());
+		else if (!h.isSuccess()) {
+			finish();
+			this.listener.onFailure(AttemptEnd.FAILED, "status " + h.status(), h, this.buffer.toByteArray());
 		}
 		else {
-			end();
-			this.sink.succeeded(h, this.held.toByteArray(), this.begun);
+			finish();
+			this.listener.onSuccess(h, this.buffer.toByteArray(), this.responseStarted);
 		}
 	}
 
 	@Override
 	public void onFailure(ExchangeFailure f) {
-		if (!this.over) {
+		if (!this.done) {
 			fail(f.sent() ? AttemptEnd.UNKNOWN : AttemptEnd.NOT_SENT, f.reason());
 		}
 	}
 
-	private void end() {
-		this.over = true;
-		this.worker.forget(this.onWorkerEnd);
+	private void finish() {
+		this.done = true;
+		this.worker.forget(this.onWorkerRestart);
 	}
 
 	private void fail(AttemptEnd end, String reason) {
 		cancel();
-		this.sink.failed(end, reason, null, new byte[0]);
+		this.listener.onFailure(end, reason, null, new byte[0]);
 	}
 
 	/**
 	 * Hears what an attempt brings.
 	 */
-	interface Sink {
+	interface Listener {
 
 		// The answer has begun; it may have news of the worker.
-		void head(AnswerHead head);
+		void onHead(ResponseHead head);
 
 		// A success begins whose bytes follow.
-		void begin(AnswerHead head);
+		void onResponseStart(ResponseHead head);
 
 		// A whole event of a stream.
-		void event(byte[] event);
+		void onEvent(byte[] event);
 
 		// Bytes of a long answer that is no stream.
-		void bytes(byte[] bytes);
+		void onBytes(byte[] bytes);
 
 		// The answer is whole; the body is empty if it was handed on in parts.
-		void succeeded(AnswerHead head, byte[] body, boolean begun);
+		void onSuccess(ResponseHead head, byte[] body, boolean begun);
 
 		// No success; head and body are those of the worker's own failure, if any.
-		void failed(AttemptEnd end, String reason, @Nullable AnswerHead head, byte[] body);
+		void onFailure(AttemptEnd end, String reason, @Nullable ResponseHead head, byte[] body);
 
 	}
 
--- a/src/main/java/io/shallotspur/gateway/CallerAnswer.java
+++ b/src/main/java/io/shallotspur/gateway/CallerResponse.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * The answer to one caller. Either {@link #whole} is called once, or {@link #begin}, then
- * any number of {@link #write}, then {@link #end} or {@link #breakOff}. Called on the
+ * The answer to one caller. Either {@link #send} is called once, or {@link #start}, then
+ * any number of {@link #write}, then {@link #complete} or {@link #abort}. Called on the
  * gateway's thread.
  */
-public interface CallerAnswer {
+public interface CallerResponse {
 
 	/**
 	 * Answers with a body of known length.
@@ -15,7 +15,7 @@
 	 * @param headers the header fields
 	 * @param body the body
 	 */
-	void whole(int status, List<HeaderField> headers, byte[] body);
+	void send(int status, List<HeaderField> headers, byte[] body);
 
 	/**
 	 * Refuses the request or reports its failure in this VM's own name.
@@ -28,7 +28,7 @@
 	 * @param status the HTTP status
 	 * @param headers the header fields
 	 */
-	void begin(int status, List<HeaderField> headers);
+	void start(int status, List<HeaderField> headers);
 
 	/**
 	 * Sends a part of the body at once.
@@ -39,11 +39,11 @@
 	/**
 	 * Marks the answer as complete.
 	 */
-	void end();
+	void complete();
 
 	/**
 	 * Closes the connection so that the answer is seen to be incomplete.
 	 */
-	void breakOff();
+	void abort();
 
 }
--- a/src/main/java/io/shallotspur/gateway/Candidates.java
+++ b/src/main/java/io/shallotspur/gateway/Candidates.java
@@ -48,9 +48,9 @@
 	 * @return the workers
 	 */
 	List<WorkerState> admitting(WorkerStage stage, Set<String> tried, long now) {
-		int connections = ConnectionPart.of(this.connectionLimit, this.g.vms, now);
+		int connections = ConnectionPart.of(this.connectionLimit, this.g.entryVms, now);
 		return all(stage, tried, now).stream()
-			.filter((w) -> w.running() < connections && this.g.limits.admits(w, now))
+			.filter((w) -> w.running() < connections && this.g.workerLimits.admits(w, now))
 			.toList();
 	}
 
@@ -62,7 +62,7 @@
 	 * @return the worker, or empty if there is none
 	 */
 	Optional<WorkerState> firstWithRoom(WorkerStage stage, Set<String> tried, long now) {
-		return all(stage, tried, now).stream().min(Comparator.comparingLong((w) -> this.g.limits.waitMs(w, now)));
+		return all(stage, tried, now).stream().min(Comparator.comparingLong((w) -> this.g.workerLimits.waitMs(w, now)));
 	}
 
 }
--- a/src/main/java/io/shallotspur/gateway/ConfigSource.java
+++ b/src/main/java/io/shallotspur/gateway/ConfigSource.java
@@ -8,7 +8,7 @@
 public interface ConfigSource {
 
 	/**
-	 * Asks. An answer is given to {@link Gateway#configure} and {@link Gateway#proved}
+	 * Asks. An answer is given to {@link Gateway#configure} and {@link Gateway#configConfirmed}
 	 * before the task runs.
 	 * @param then run once, when the store has answered or cannot be reached
 	 */
--- a/src/main/java/io/shallotspur/gateway/ConnectionPart.java
+++ b/src/main/java/io/shallotspur/gateway/ConnectionPart.java
@@ -24,9 +24,9 @@
 	 * @param now the present time in milliseconds
 	 * @return the number of connections, at least 1
 	 */
-	static int of(int limit, EntryVms vms, long now) {
-		int serving = vms.servingEverywhere(now);
-		if (vms.placeAmongServing(now) >= 0) {
+	static int of(int limit, EntryVmDirectory vms, long now) {
+		int serving = vms.servingCountAllRegions(now);
+		if (vms.servingIndex(now) >= 0) {
 			return Math.max(1, (int) (SERVING_PART * limit / serving));
 		}
 		return Math.max(1, (int) ((1 - SERVING_PART) * limit / Math.max(1, vms.count(now) - serving)));
--- a/src/main/java/io/shallotspur/gateway/DecisionLog.java
+++ b/src/main/java/io/shallotspur/gateway/DecisionLog.java
@@ -39,7 +39,7 @@
 	 */
 	public void write(long now, Supplier<String> line) {
 		if (now / SECOND_MS != this.second) {
-			nextSecond(now);
+			startSecond(now);
 		}
 		if (this.written >= this.linesPerSecond) {
 			this.dropped++;
@@ -49,7 +49,7 @@
 		Logger.info("[relay] {}", line.get());
 	}
 
-	private void nextSecond(long now) {
+	private void startSecond(long now) {
 		this.second = now / SECOND_MS;
 		this.written = 0;
 		if (this.dropped > 0) {
--- a/src/main/java/io/shallotspur/gateway/EntryVms.java
+++ b/src/main/java/io/shallotspur/gateway/EntryVmDirectory.java
@@ -14,17 +14,17 @@
  * The entry VMs that take callers, and which of them a caller is told to use. Not
  * thread-safe; confined to the gateway's thread.
  */
-public final class EntryVms {
+public final class EntryVmDirectory {
 
 	// A region whose VMs are fewer sends its callers to other regions too: one VM alone
 	// would be lost to all of them at once.
-	private static final int FEWEST_NEAR = 2;
+	private static final int MIN_VMS_PER_REGION = 2;
 
-	private final Map<String, Entry> byKey = new LinkedHashMap<>();
+	private final Map<String, Registration> byKey = new LinkedHashMap<>();
 
 	// Asked for with each request; with hundreds of VMs it is chosen again only when they
 	// change.
-	private @Nullable Choice choice;
+	private @Nullable Selection selection;
 
 	private @Nullable EntryVm own;
 
@@ -32,18 +32,18 @@
 	 * Says which VM this one is.
 	 * @param vm this VM
 	 */
-	public void own(EntryVm vm) {
+	public void registerSelf(EntryVm vm) {
 		this.own = vm;
-		seen(vm);
+		register(vm);
 	}
 
 	/**
 	 * Takes the registration of a VM.
 	 * @param vm the VM
 	 */
-	public void seen(EntryVm vm) {
-		this.byKey.put(vm.key(), new Entry(vm, Long.MAX_VALUE));
-		this.choice = null;
+	public void register(EntryVm vm) {
+		this.byKey.put(vm.key(), new Registration(vm, Long.MAX_VALUE));
+		this.selection = null;
 	}
 
 	/**
@@ -52,20 +52,20 @@
 	 * @param until until when callers are still sent there, in milliseconds; the present
 	 * or a past time if not at all
 	 */
-	public void vanished(String key, long until) {
-		this.byKey.computeIfPresent(key, (k, e) -> new Entry(e.vm(), Math.min(e.until(), until)));
-		this.choice = null;
+	public void deregister(String key, long until) {
+		this.byKey.computeIfPresent(key, (k, e) -> new Registration(e.vm(), Math.min(e.until(), until)));
+		this.selection = null;
 	}
 
 	/**
 	 * Takes a whole listing: registrations that it lacks have ended.
 	 * @param keys all keys
-	 * @param until as in {@link #vanished}
+	 * @param until as in {@link #deregister}
 	 */
 	public void retain(Set<String> keys, long until) {
 		for (String k : this.byKey.keySet()) {
 			if (!keys.contains(k)) {
-				vanished(k, until);
+				deregister(k, until);
 			}
 		}
 	}
@@ -80,7 +80,7 @@
 	 * @return its rank; 0 is first
 	 */
 	public int rank(String key, long now) {
-		List<EntryVm> present = present(now);
+		List<EntryVm> present = liveVms(now);
 		Set<String> serving = new HashSet<>();
 		present.forEach((v) -> serving(v.region(), now).forEach((w) -> serving.add(w.key())));
 		return (int) present.stream()
@@ -96,7 +96,7 @@
 	 * @return the number, without doubles of one address
 	 */
 	public int count(long now) {
-		return present(now).size();
+		return liveVms(now).size();
 	}
 
 	/**
@@ -107,24 +107,24 @@
 	 * @param now the present time in milliseconds
 	 * @return the addresses, without doubles
 	 */
-	public List<String> forCaller(String region, int max, long now) {
+	public List<String> addressesFor(String region, int max, long now) {
 		return serving(region, now).stream().limit(max).map(EntryVm::address).toList();
 	}
 
 	private List<EntryVm> serving(String region, long now) {
-		return choice(now).of(region);
+		return selection(now).forRegion(region);
 	}
 
-	private Choice choice(long now) {
-		Choice c = this.choice;
+	private Selection selection(long now) {
+		Selection c = this.selection;
 		if (c == null || now >= c.until()) {
-			List<EntryVm> all = present(now);
+			List<EntryVm> all = liveVms(now);
 			Map<String, List<EntryVm>> byRegion = all.stream().collect(Collectors.groupingBy(EntryVm::region));
-			byRegion.values().removeIf((l) -> l.size() < FEWEST_NEAR);
-			byRegion.replaceAll((region, l) -> ServingSet.of(l));
-			long until = this.byKey.values().stream().mapToLong(Entry::until).min().orElse(Long.MAX_VALUE);
-			c = Choice.of(byRegion, ServingSet.of(all), until);
-			this.choice = c;
+			byRegion.values().removeIf((l) -> l.size() < MIN_VMS_PER_REGION);
+			byRegion.replaceAll((region, l) -> ServingVmSelector.select(l));
+			long until = this.byKey.values().stream().mapToLong(Registration::until).min().orElse(Long.MAX_VALUE);
+			c = Selection.of(byRegion, ServingVmSelector.select(all), until);
+			this.selection = c;
 		}
 		return c;
 	}
@@ -134,7 +134,7 @@
 	 * @param now the present time in milliseconds
 	 * @return the number of VMs, at least 1
 	 */
-	int servingCount(long now) {
+	int servingCountOwnRegion(long now) {
 		return (this.own != null) ? Math.max(1, serving(this.own.region(), now).size()) : 1;
 	}
 
@@ -143,8 +143,8 @@
 	 * @param now the present time in milliseconds
 	 * @return the number of VMs, at least 1
 	 */
-	int servingEverywhere(long now) {
-		return Math.max(1, choice(now).addresses().size());
+	int servingCountAllRegions(long now) {
+		return Math.max(1, selection(now).addresses().size());
 	}
 
 	/**
@@ -153,8 +153,8 @@
 	 * @param now the present time in milliseconds
 	 * @return its place, from 0, or -1 if callers are told to use others
 	 */
-	int placeAmongServing(long now) {
-		List<String> l = choice(now).addresses();
+	int servingIndex(long now) {
+		List<String> l = selection(now).addresses();
 		return (this.own == null || l.isEmpty()) ? 0 : l.indexOf(this.own.address());
 	}
 
@@ -163,7 +163,7 @@
 	 * @param now the present time in milliseconds
 	 * @return {@code false} if it serves them, or is not known
 	 */
-	public boolean standsBy(long now) {
+	public boolean isStandby(long now) {
 		EntryVm me = this.own;
 		return me != null && this.byKey.containsKey(me.key())
 				&& serving(me.region(), now).stream().noneMatch((v) -> v.address().equals(me.address()));
@@ -171,14 +171,14 @@
 
 	// Of two registrations with one address the later one counts: a process that starts
 	// again has the address of the one before, whose registration lapses later.
-	private List<EntryVm> present(long now) {
+	private List<EntryVm> liveVms(long now) {
 		this.byKey.values().removeIf((e) -> now >= e.until());
 		Map<String, EntryVm> byAddress = new LinkedHashMap<>();
 		this.byKey.values().forEach((e) -> byAddress.put(e.vm().address(), e.vm()));
 		return List.copyOf(byAddress.values());
 	}
 
-	private record Entry(EntryVm vm, long until) {
+	private record Registration(EntryVm vm, long until) {
 
 	}
 
@@ -186,23 +186,23 @@
 	 * The VMs that serve. Immutable.
 	 *
 	 * @param byRegion those of each region that has enough
-	 * @param ofAll those for callers of any other region
+	 * @param allRegions those for callers of any other region
 	 * @param addresses those of all regions that have enough, or of all, in an agreed
 	 * order
 	 * @param until when a VM among all ends, in milliseconds
 	 */
-	private record Choice(Map<String, List<EntryVm>> byRegion, List<EntryVm> ofAll, List<String> addresses,
+	private record Selection(Map<String, List<EntryVm>> byRegion, List<EntryVm> allRegions, List<String> addresses,
 			long until) {
 
-		static Choice of(Map<String, List<EntryVm>> byRegion, List<EntryVm> ofAll, long until) {
+		static Selection of(Map<String, List<EntryVm>> byRegion, List<EntryVm> ofAll, long until) {
 			List<String> l = new ArrayList<>();
 			byRegion.keySet().stream().sorted().forEach((r) -> byRegion.get(r).forEach((v) -> l.add(v.address())));
 			List<String> all = byRegion.isEmpty() ? ofAll.stream().map(EntryVm::address).toList() : l;
-			return new Choice(byRegion, ofAll, all, until);
+			return new Selection(byRegion, ofAll, all, until);
 		}
 
-		List<EntryVm> of(String region) {
-			return this.byRegion.getOrDefault(region, this.ofAll);
+		List<EntryVm> forRegion(String region) {
+			return this.byRegion.getOrDefault(region, this.allRegions);
 		}
 
 	}
--- a/src/main/java/io/shallotspur/gateway/EventSplitter.java
+++ b/src/main/java/io/shallotspur/gateway/EventSplitter.java
@@ -27,7 +27,7 @@
 	 * @param bytes the bytes
 	 * @return the events that are whole now, each with its closing empty line
 	 */
-	List<byte[]> add(byte[] bytes) {
+	List<byte[]> append(byte[] bytes) {
 		List<byte[]> events = new ArrayList<>();
 		for (byte b : bytes) {
 			this.pending.write(b);
@@ -63,7 +63,7 @@
 	 * Tells whether the last event is not whole.
 	 * @return {@code true} if bytes wait for the end of their event
 	 */
-	boolean midEvent() {
+	boolean hasPartialEvent() {
 		return this.hasContent;
 	}
 
@@ -71,7 +71,7 @@
 	 * Tells whether an event is longer than any sender may make it.
 	 * @return {@code true} if the pending event passes one megabyte
 	 */
-	boolean tooLong() {
+	boolean exceedsMaxSize() {
 		return this.pending.size() > MAX_EVENT_BYTES;
 	}
 
@@ -80,7 +80,7 @@
 	 * @param event a whole event
 	 * @return its id, or an empty text if it has none
 	 */
-	static String id(byte[] event) {
+	static String eventId(byte[] event) {
 		for (String line : new String(event, StandardCharsets.UTF_8).split("\n")) {
 			if (line.startsWith("id:")) {
 				return line.substring("id:".length()).strip();
--- a/src/main/java/io/shallotspur/gateway/ExchangeListener.java
+++ b/src/main/java/io/shallotspur/gateway/ExchangeListener.java
@@ -10,7 +10,7 @@
 	 * The head of the answer has come.
 	 * @param head the head
 	 */
-	void onHead(AnswerHead head);
+	void onHead(ResponseHead head);
 
 	/**
 	 * A part of the body has come.
--- a/src/main/java/io/shallotspur/gateway/Gateway.java
+++ b/src/main/java/io/shallotspur/gateway/Gateway.java
@@ -20,11 +20,11 @@
  */
 public final class Gateway {
 
-	private static final long CLOCK_READING_MS = 250;
+	private static final long CLOCK_SAMPLE_MS = 250;
 
 	final GatewaySettings settings;
 
-	final WorkerPort workers;
+	final WorkerPort workerPort;
 
 	final GatewayTimer timer;
 
@@ -34,7 +34,7 @@
 
 	private final ElapsedTime elapsed = new ElapsedTime();
 
-	private Runnable cancelClockReading = () -> {
+	private Runnable cancelClockSampling = () -> {
 	};
 
 	final Placement.Random random;
@@ -45,32 +45,32 @@
 
 	final Roster roster = new Roster();
 
-	final EntryVms vms = new EntryVms();
+	final EntryVmDirectory entryVms = new EntryVmDirectory();
 
-	final CallerAges ages = new CallerAges();
+	final RequestAgeEstimator requestAges = new RequestAgeEstimator();
 
-	final RetryAllowance retries;
+	final RetryAllowance retryBudget;
 
-	final WorkerLimits limits;
+	final WorkerLimits workerLimits;
 
 	final QuotaBook quotas;
 
-	private final ConfigProof proof;
+	private final ConfigProof configFreshness;
 
 	private ConfigSource configSource = Runnable::run;
 
-	private final Map<String, HoldQueue> holdQueues = new HashMap<>();
+	private final Map<String, HoldQueue> reservationQueues = new HashMap<>();
 
-	private final Map<String, EngineTimes> times = new HashMap<>();
+	private final Map<String, EngineTimes> engineTimes = new HashMap<>();
 
-	private @Nullable RouteTable table;
+	private @Nullable RouteTable routeTable;
 
 	// Read by the thread that waits for the end.
 	private volatile int inProgress;
 
 	private long refusesFrom = Long.MAX_VALUE;
 
-	private long endsAt = Long.MAX_VALUE;
+	private long shutdownAt = Long.MAX_VALUE;
 
 	/**
 	 * Creates a gateway that knows no configuration and no workers.
@@ -79,17 +79,17 @@
 	 */
 	public Gateway(GatewaySettings settings, GatewayPorts ports) {
 		this.settings = settings;
-		this.workers = ports.workers();
+		this.workerPort = ports.workers();
 		this.timer = ports.timer();
 		this.clock = ports.clock();
 		this.wallClock = ports.wallClock();
 		this.random = ports.random()::getAsDouble;
 		this.log = ports.log();
 		this.metrics = ports.metrics();
-		this.retries = new RetryAllowance(settings);
-		this.limits = new WorkerLimits(this.vms, this.random.next());
+		this.retryBudget = new RetryAllowance(settings);
+		this.workerLimits = new WorkerLimits(this.entryVms, this.random.next());
 		this.quotas = new QuotaBook(settings.quotas(), this.clock.getAsLong());
-		this.proof = new ConfigProof(settings.revokedKeyMs());
+		this.configFreshness = new ConfigProof(settings.revokedKeyMs());
 	}
 
 	/**
@@ -99,10 +99,10 @@
 	 * @return whether it is in force now
 	 */
 	public boolean configure(RouteTable next) {
-		if (this.table != null && next.version() <= this.table.version()) {
+		if (this.routeTable != null && next.version() <= this.routeTable.version()) {
 			return false;
 		}
-		this.table = next;
+		this.routeTable = next;
 		Logger.info("[config] in force version={}", next.version());
 		return true;
 	}
@@ -111,8 +111,8 @@
 	 * Returns the configuration in force.
 	 * @return the configuration, or empty if none is known
 	 */
-	public Optional<RouteTable> table() {
-		return Optional.ofNullable(this.table);
+	public Optional<RouteTable> routeTable() {
+		return Optional.ofNullable(this.routeTable);
 	}
 
 	/**
@@ -127,8 +127,8 @@
 	 * Returns the entry VMs.
 	 * @return the VMs, to be kept up to date by whoever reads the registry
 	 */
-	public EntryVms vms() {
-		return this.vms;
+	public EntryVmDirectory entryVms() {
+		return this.entryVms;
 	}
 
 	/**
@@ -136,34 +136,34 @@
 	 * @param upstream the upstream
 	 * @return the figures, kept up to date
 	 */
-	public EngineTimes times(String upstream) {
-		return this.times.computeIfAbsent(upstream, (u) -> new EngineTimes());
+	public EngineTimes engineTimes(String upstream) {
+		return this.engineTimes.computeIfAbsent(upstream, (u) -> new EngineTimes());
 	}
 
 	/**
 	 * Says that this VM ends. Callers who still have its address would find nobody, and
 	 * some have but one try left, so it answers to the end: what cannot be answered in
 	 * time is refused as not run.
-	 * @param late from when on requests are refused that would take too long, on the
+	 * @param refuseFrom from when on requests are refused that would take too long, on the
 	 * clock of the gateway
-	 * @param end when the last answer has to be whole, on the same clock
+	 * @param shutdownAt when the last answer has to be whole, on the same clock
 	 */
-	public void leave(long late, long end) {
-		this.refusesFrom = late;
-		this.endsAt = end;
+	public void drain(long refuseFrom, long shutdownAt) {
+		this.refusesFrom = refuseFrom;
+		this.shutdownAt = shutdownAt;
 	}
 
-	boolean tooLate(Route route, RelayRequest r, long now) {
+	boolean exceedsShutdown(Route route, RelayRequest r, long now) {
 		if (now < this.refusesFrom) {
 			return false;
 		}
-		long most = Math.min(r.waitMs(), route.timeoutMs());
+		long most = Math.min(r.callerTimeoutMs(), route.timeoutMs());
 		PromptShape p = r.prompt();
 		if (p != null) {
-			long answer = times(route.chooseUpstream(0)).answerMs(p.likelyOutputTokens());
+			long answer = engineTimes(route.chooseUpstream(0)).answerMs(p.likelyOutputTokens());
 			most = Math.min(most, route.targetMs() + (long) (RetryAdvice.ANSWER_MARGIN * answer));
 		}
-		return now + most > this.endsAt;
+		return now + most > this.shutdownAt;
 	}
 
 	/**
@@ -180,14 +180,14 @@
 	 * @param answer the way back to its caller
 	 * @return to be run when the caller has left
 	 */
-	public Runnable handle(RelayRequest request, CallerAnswer answer) {
+	public Runnable handle(RelayRequest request, CallerResponse answer) {
 		this.inProgress++;
-		Arrival a = new Arrival(this, request, answer, this.clock.getAsLong());
+		RequestAdmission a = new RequestAdmission(this, request, answer, this.clock.getAsLong());
 		a.start();
-		return a::callerGone;
+		return a::callerDisconnected;
 	}
 
-	void ended() {
+	void requestFinished() {
 		this.inProgress--;
 	}
 
@@ -195,7 +195,7 @@
 	 * Says whom to ask for the newest configuration.
 	 * @param source asks the operator's store
 	 */
-	public void configSource(ConfigSource source) {
+	public void setConfigSource(ConfigSource source) {
 		this.configSource = source;
 	}
 
@@ -211,48 +211,48 @@
 	 * Reads the clocks from now on. Between two readings a time of day that is set back
 	 * could hide a suspension.
 	 */
-	public void watchClocks() {
+	public void startClockSampling() {
 		elapsedMs();
-		this.cancelClockReading = this.timer.after(CLOCK_READING_MS, this::watchClocks);
+		this.cancelClockSampling = this.timer.schedule(CLOCK_SAMPLE_MS, this::startClockSampling);
 	}
 
 	/**
 	 * Reads the clocks no more, except when a key is proved.
 	 */
-	public void unwatchClocks() {
-		this.cancelClockReading.run();
+	public void stopClockSampling() {
+		this.cancelClockSampling.run();
 	}
 
 	/**
 	 * Takes that the configuration in force was the newest one.
-	 * @param askedMs when the question was sent that showed so, by {@link #elapsedMs}
+	 * @param requestedAtMs when the question was sent that showed so, by {@link #elapsedMs}
 	 */
-	public void proved(long askedMs) {
-		this.proof.proved(askedMs);
+	public void configConfirmed(long requestedAtMs) {
+		this.configFreshness.proved(requestedAtMs);
 	}
 
 	/**
 	 * Returns how long ago the configuration in force surely was the newest one.
 	 * @return milliseconds
 	 */
-	public long proofAgeMs() {
-		return this.proof.ageMs(elapsedMs());
+	public long configAgeMs() {
+		return this.configFreshness.ageMs(elapsedMs());
 	}
 
-	void askForProof(Runnable then) {
+	void refreshConfig(Runnable then) {
 		this.configSource.ask(then);
 	}
 
 	// Callers come with keys: what proves them is renewed before it is too old.
-	void keyUsed() {
-		if (this.proof.worthRenewing(elapsedMs())) {
-			askForProof(() -> {
+	void refreshConfigIfStale() {
+		if (this.configFreshness.worthRenewing(elapsedMs())) {
+			refreshConfig(() -> {
 			});
 		}
 	}
 
-	HoldQueue holdQueue(String upstream) {
-		return this.holdQueues.computeIfAbsent(upstream, (u) -> new HoldQueue(this, u));
+	HoldQueue reservationQueue(String upstream) {
+		return this.reservationQueues.computeIfAbsent(upstream, (u) -> new HoldQueue(this, u));
 	}
 
 	/**
@@ -261,7 +261,7 @@
 	 * @param news the news
 	 * @param sentAt when the request was sent whose answer says so, in milliseconds
 	 */
-	void told(WorkerState w, WorkerNews news, long sentAt) {
+	void updateWorkerStatus(WorkerState w, WorkerNews news, long sentAt) {
 		long now = this.clock.getAsLong();
 		if (news.load() != null) {
 			w.reported(news.load(), now);
@@ -271,22 +271,22 @@
 		}
 		NamedLimit.Sent before = w.limit().sentSince(now);
 		if (w.limit().told(news.limit(), sentAt, now)) {
-			this.metrics.limitNamed();
+			this.metrics.limitChanged();
 			this.log.write(now,
 					() -> "worker=" + w.info().id() + " limit-per-s=" + w.limit().limit() + " before: " + before);
 		}
 	}
 
 	// A caller's request, or the prefill of its prompt, goes to a worker.
-	void sent(WorkerState w, long now) {
-		this.limits.sent(w, now);
+	void recordSent(WorkerState w, long now) {
+		this.workerLimits.sent(w, now);
 		if (w.limit().limit().named()) {
 			this.metrics.sentToLimited();
 		}
 	}
 
-	void freed(String upstream, String worker) {
-		HoldQueue q = this.holdQueues.get(upstream);
+	void onCapacityFreed(String upstream, String worker) {
+		HoldQueue q = this.reservationQueues.get(upstream);
 		if (q != null) {
 			q.freed(worker, this.clock.getAsLong());
 		}
--- a/src/main/java/io/shallotspur/gateway/GatewaySettings.java
+++ b/src/main/java/io/shallotspur/gateway/GatewaySettings.java
@@ -3,7 +3,7 @@
 /**
  * What one entry VM is told about its relaying. Immutable.
  *
- * @param vm its name
+ * @param vmName its name
  * @param hall where it runs
  * @param retryRatio retries of an upstream that all VMs together may send, as a part of
  * the requests for it in the window
@@ -13,7 +13,7 @@
  * 0 for no bound
  * @param quotas how exactly customers' quotas have to be kept
  */
-public record GatewaySettings(String vm, String hall, double retryRatio, double retrySlack, long retryWindowMs,
+public record GatewaySettings(String vmName, String hall, double retryRatio, double retrySlack, long retryWindowMs,
 		long revokedKeyMs, QuotaBounds quotas) {
 
 	/**
@@ -34,7 +34,7 @@
 	 * @return settings that differ in that only
 	 */
 	public GatewaySettings withRevokedKeyMs(long ms) {
-		return new GatewaySettings(this.vm, this.hall, this.retryRatio, this.retrySlack, this.retryWindowMs, ms,
+		return new GatewaySettings(this.vmName, this.hall, this.retryRatio, this.retrySlack, this.retryWindowMs, ms,
 				this.quotas);
 	}
 
@@ -44,7 +44,7 @@
 	 * @return settings that differ in that only
 	 */
 	public GatewaySettings withQuotas(QuotaBounds bounds) {
-		return new GatewaySettings(this.vm, this.hall, this.retryRatio, this.retrySlack, this.retryWindowMs,
+		return new GatewaySettings(this.vmName, this.hall, this.retryRatio, this.retrySlack, this.retryWindowMs,
 				this.revokedKeyMs, bounds);
 	}
 
--- a/src/main/java/io/shallotspur/gateway/GatewayTimer.java
+++ b/src/main/java/io/shallotspur/gateway/GatewayTimer.java
@@ -12,6 +12,6 @@
 	 * @param task what is to be run
 	 * @return cancels it when run; does nothing afterwards
 	 */
-	Runnable after(long delayMs, Runnable task);
+	Runnable schedule(long delayMs, Runnable task);
 
 }
--- a/src/main/java/io/shallotspur/gateway/HoldQueue.java
+++ b/src/main/java/io/shallotspur/gateway/HoldQueue.java
@@ -223,11 +223,11 @@
 		this.asked.add(t);
 		w.started();
 		w.limit().reserve();
-		this.g.workers.hold(w.info(), tokens, t.waiting.holdMs(), new HoldListener() {
+		this.g.workerPort.reserve(w.info(), tokens, t.waiting.holdMs(), new HoldListener() {
 
 			@Override
 			public void onNews(WorkerNews news) {
-				HoldQueue.this.g.told(w, news, now);
+				HoldQueue.this.g.updateWorkerStatus(w, news, now);
 			}
 
 			@Override
@@ -277,7 +277,7 @@
 	private void held(Ticket t, WorkerState w, String hold, long now) {
 		if (t.over) {
 			w.limit().unreserve();
-			this.g.workers.drop(w.info(), hold);
+			this.g.workerPort.cancelReservation(w.info(), hold);
 			return;
 		}
 		t.over = true;
@@ -296,7 +296,7 @@
 
 	// The part of the callers who are at other VMs.
 	private long latePauseMs(long now) {
-		return LATE_MS - LATE_MS / this.g.vms.servingCount(now);
+		return LATE_MS - LATE_MS / this.g.entryVms.servingCountOwnRegion(now);
 	}
 
 	private void wakeLater(long now) {
@@ -311,7 +311,7 @@
 		if (this.nextAskAt > now && this.asked.size() < CALLS_AT_ONCE) {
 			at = Math.min(at, this.nextAskAt);
 		}
-		this.cancelTimer = this.g.timer.after(Math.max(1, at - now), () -> pump(this.g.clock.getAsLong()));
+		this.cancelTimer = this.g.timer.schedule(Math.max(1, at - now), () -> pump(this.g.clock.getAsLong()));
 	}
 
 	/**
--- a/src/main/java/io/shallotspur/gateway/LimitPart.java
+++ b/src/main/java/io/shallotspur/gateway/LimitPart.java
@@ -40,9 +40,9 @@
 	 * @param now the present time in milliseconds
 	 * @return requests a second; 0 if the VM leaves the worker alone but for its turn
 	 */
-	static double perSecond(WorkerLimit limit, String worker, EntryVms vms, long now) {
-		int serving = vms.servingEverywhere(now);
-		int place = vms.placeAmongServing(now);
+	static double perSecond(WorkerLimit limit, String worker, EntryVmDirectory vms, long now) {
+		int serving = vms.servingCountAllRegions(now);
+		int place = vms.servingIndex(now);
 		int sharing = (int) Math.min(serving, Math.floor(limit.perSecond()) + MORE_VMS);
 		if (place < 0 || Math.floorMod(place + worker.hashCode(), serving) >= sharing) {
 			return 0;
@@ -57,7 +57,7 @@
 	 * @param now the present time in milliseconds
 	 * @return the number of the turn, or -1 if it is none
 	 */
-	static long turn(EntryVms vms, double phase, long now) {
+	static long turn(EntryVmDirectory vms, double phase, long now) {
 		long turns = (long) PAUSE_TURNS * Math.max(1, vms.count(now));
 		long n = (long) (now + phase * turns * TURN_MS) / TURN_MS;
 		return (n % turns == 0) ? n / turns : -1;
--- a/src/main/java/io/shallotspur/gateway/LimitWait.java
+++ b/src/main/java/io/shallotspur/gateway/LimitWait.java
@@ -32,12 +32,12 @@
 	}
 
 	void start(long now) {
-		waitFor(this.g.limits.waitMs(this.worker, now));
+		waitFor(this.g.workerLimits.waitMs(this.worker, now));
 	}
 
 	private void waitFor(long ms) {
 		this.worker.limit().reserve();
-		this.cancelTimer = this.g.timer.after(ms, this::over);
+		this.cancelTimer = this.g.timer.schedule(ms, this::over);
 	}
 
 	private void over() {
@@ -48,7 +48,7 @@
 			return;
 		}
 		// The limit may have fallen since.
-		long more = this.g.limits.promisedWaitMs(this.worker, now);
+		long more = this.g.workerLimits.promisedWaitMs(this.worker, now);
 		if (more == 0) {
 			this.then.maySend(this.worker, now);
 		}
--- a/src/main/java/io/shallotspur/gateway/Placing.java
+++ b/src/main/java/io/shallotspur/gateway/Placing.java
@@ -51,7 +51,7 @@
 
 	private final Gateway g;
 
-	private final Admitted admitted;
+	private final AdmittedRequest admitted;
 
 	private final Route route;
 
@@ -95,7 +95,7 @@
 
 	private long waitsSince;
 
-	Placing(Gateway g, Admitted admitted, String upstream, @Nullable UpstreamSpec spec, Sink sink, long arrivedAt,
+	Placing(Gateway g, AdmittedRequest admitted, String upstream, @Nullable UpstreamSpec spec, Sink sink, long arrivedAt,
 			long answerBy) {
 		this.g = g;
 		this.admitted = admitted;
@@ -107,7 +107,7 @@
 		this.sink = sink;
 		this.arrivedAt = arrivedAt;
 		this.answerBy = answerBy;
-		this.askedAt = arrivedAt - g.ages.ageMs(this.route.name(), this.request.waitMs());
+		this.askedAt = arrivedAt - g.requestAges.ageMs(this.route.name(), this.request.callerTimeoutMs());
 	}
 
 	void start(long now) {
@@ -118,7 +118,7 @@
 		EngineSpec e = this.engine;
 		boolean reserves = e != null && e.holdMs() > 0 && this.request.prompt() != null;
 		Optional<WorkerState> first = this.candidates.firstWithRoom(stage(), this.tried, now);
-		long limitWait = first.map((w) -> this.g.limits.waitMs(w, now)).orElse(0L);
+		long limitWait = first.map((w) -> this.g.workerLimits.waitMs(w, now)).orElse(0L);
 		if (first.isEmpty()) {
 			this.sink.nowhere(RefusalReason.NO_WORKER, now);
 		}
@@ -126,7 +126,7 @@
 			this.sink.nowhere(RefusalReason.WORKERS_LIMITED, now);
 		}
 		else if (reserves) {
-			HoldQueue.Ticket t = this.g.holdQueue(this.upstream).enter(this, now);
+			HoldQueue.Ticket t = this.g.reservationQueue(this.upstream).enter(this, now);
 			this.ticket = t.isOver() ? null : t;
 		}
 		else if (limitWait > 0) {
@@ -146,7 +146,7 @@
 	 */
 	long limitWaitMs(long now) {
 		return this.candidates.firstWithRoom(stage(), this.tried, now)
-			.map((w) -> this.g.limits.waitMs(w, now))
+			.map((w) -> this.g.workerLimits.waitMs(w, now))
 			.orElse(0L);
 	}
 
@@ -214,7 +214,7 @@
 	@Override
 	public int tokens() {
 		PromptShape p = this.request.prompt();
-		return (p != null) ? this.g.times(this.upstream).reservedTokens(p, this.sink.received()) : 0;
+		return (p != null) ? this.g.engineTimes(this.upstream).reservedTokens(p, this.sink.received()) : 0;
 	}
 
 	@Override
@@ -224,7 +224,7 @@
 
 	@Override
 	public long latestStart() {
-		return this.askedAt + this.route.targetMs() - this.g.times(this.upstream).leadMs();
+		return this.askedAt + this.route.targetMs() - this.g.engineTimes(this.upstream).leadMs();
 	}
 
 	@Override
@@ -242,7 +242,7 @@
 	long answerMs() {
 		PromptShape p = this.request.prompt();
 		return (p != null)
-				? this.g.times(this.upstream).answerMs(Math.max(0, p.likelyOutputTokens() - this.sink.received())) : 0;
+				? this.g.engineTimes(this.upstream).answerMs(Math.max(0, p.likelyOutputTokens() - this.sink.received())) : 0;
 	}
 
 	@Override
@@ -294,7 +294,7 @@
 	}
 
 	private boolean stalls(PromptShape prompt) {
-		return this.engine != null && this.g.times(this.upstream)
+		return this.engine != null && this.g.engineTimes(this.upstream)
 			.known()
 			.filter((f) -> f.stalls(prompt.promptTokens(), this.engine.eventTokens(), this.route.gapMs()))
 			.isPresent();
@@ -304,7 +304,7 @@
 	private long prefillLimit() {
 		long dflt = Math.max(LEAST_PREFILL_MS, (long) (this.route.targetMs() * PREFILL_SHARE));
 		long most = Math.max(dflt, (long) (HOLD_SHARE * holdMs()));
-		long expected = this.g.times(this.upstream).prefillLimitMs();
+		long expected = this.g.engineTimes(this.upstream).prefillLimitMs();
 		return (expected > 0) ? Math.min(most, Math.max(LEAST_PREFILL_MS, expected)) : dflt;
 	}
 
@@ -335,7 +335,7 @@
 			return;
 		}
 		if (this.source != null && !fresh(this.source, now)) {
-			this.g.workers.release(this.source);
+			this.g.workerPort.releaseKvCache(this.source);
 			this.source = null;
 		}
 		if (this.hold != null && !holds(w, now)) {
@@ -381,7 +381,7 @@
 	 */
 	void cancel() {
 		if (this.ticket != null) {
-			this.g.holdQueue(this.upstream).leave(this.ticket);
+			this.g.reservationQueue(this.upstream).leave(this.ticket);
 			this.ticket = null;
 		}
 		if (this.prefill != null) {
@@ -389,7 +389,7 @@
 			this.prefill = null;
 		}
 		if (this.source != null) {
-			this.g.workers.release(this.source);
+			this.g.workerPort.releaseKvCache(this.source);
 			this.source = null;
 		}
 		if (this.limitWait != null) {
@@ -398,7 +398,7 @@
 		}
 		if (this.hold != null && this.target != null) {
 			this.target.limit().unreserve();
-			this.g.workers.drop(this.target.info(), this.hold);
+			this.g.workerPort.cancelReservation(this.target.info(), this.hold);
 			this.hold = null;
 		}
 		this.target = null;
--- a/src/main/java/io/shallotspur/gateway/PrefillStep.java
+++ b/src/main/java/io/shallotspur/gateway/PrefillStep.java
@@ -48,13 +48,13 @@
 	void start(WorkerCall call, long limitMs) {
 		this.startedAt = this.g.clock.getAsLong();
 		this.worker.started();
-		this.g.sent(this.worker, this.startedAt);
+		this.g.recordSent(this.worker, this.startedAt);
 		this.worker.whenEnded(this.onWorkerEnd);
-		this.cancelTimer = this.g.timer.after(limitMs, () -> {
-			this.g.times(this.worker.info().upstream()).prefillTimedOut(limitMs);
+		this.cancelTimer = this.g.timer.schedule(limitMs, () -> {
+			this.g.engineTimes(this.worker.info().upstream()).prefillTimedOut(limitMs);
 			onFailure(new ExchangeFailure(true, "no answer"));
 		});
-		Exchange e = this.g.workers.prefill(call, this);
+		Exchange e = this.g.workerPort.prefill(call, this);
 		this.exchange = e;
 		if (this.over) {
 			e.cancel();
@@ -67,18 +67,18 @@
 
 	@Override
 	public void onNews(WorkerNews news) {
-		this.g.told(this.worker, news, this.startedAt);
+		this.g.updateWorkerStatus(this.worker, news, this.startedAt);
 	}
 
 	@Override
 	public void onReady(String handle) {
 		KvSource s = new KvSource(this.worker.info(), handle);
 		if (this.over) {
-			this.g.workers.release(s);
+			this.g.workerPort.releaseKvCache(s);
 			return;
 		}
 		end();
-		this.g.times(this.worker.info().upstream()).prefilled(this.g.clock.getAsLong() - this.startedAt, this.prompt);
+		this.g.engineTimes(this.worker.info().upstream()).prefilled(this.g.clock.getAsLong() - this.startedAt, this.prompt);
 		this.then.accept(new Result(s, null, false));
 	}
 
--- a/src/main/java/io/shallotspur/gateway/QuotaPart.java
+++ b/src/main/java/io/shallotspur/gateway/QuotaPart.java
@@ -13,9 +13,9 @@
 	private QuotaPart() {
 	}
 
-	static double of(EntryVms vms, long now) {
-		int serving = vms.servingEverywhere(now);
-		return 1.0 / (vms.standsBy(now) ? serving + 1 : serving);
+	static double of(EntryVmDirectory vms, long now) {
+		int serving = vms.servingCountAllRegions(now);
+		return 1.0 / (vms.isStandby(now) ? serving + 1 : serving);
 	}
 
 }
--- a/src/main/java/io/shallotspur/gateway/RelayMetrics.java
+++ b/src/main/java/io/shallotspur/gateway/RelayMetrics.java
@@ -15,7 +15,7 @@
 
 	// Customers with series of their own; those that come later are counted together. A
 	// scrape of tens of thousands of series would take the VM longer than its requests.
-	private static final int MOST_CUSTOMERS = 64;
+	private static final int MAX_CUSTOMER_SERIES = 64;
 
 	private static final String OTHERS = "others";
 
@@ -31,9 +31,9 @@
 		this.registry = registry;
 	}
 
-	void arrived(String route, @Nullable String customer) {
+	void requestArrived(String route, @Nullable String customer) {
 		this.registry.counter("relay.requests." + route).inc();
-		ofCustomer("requests", customer);
+		countForCustomer("requests", customer);
 	}
 
 	void firstByte(String route, long ms) {
@@ -43,23 +43,23 @@
 	void answered(String route, @Nullable String customer, long ms) {
 		this.registry.timer("relay.answered." + route).update(ms, TimeUnit.MILLISECONDS);
 		if (customer != null) {
-			this.registry.timer("customer.answered." + series(customer)).update(ms, TimeUnit.MILLISECONDS);
+			this.registry.timer("customer.answered." + seriesName(customer)).update(ms, TimeUnit.MILLISECONDS);
 		}
 	}
 
 	void refused(RefusalReason reason, @Nullable String customer) {
 		this.registry.counter("relay.refused." + reason.code()).inc();
-		ofCustomer("refused." + reason.code(), customer);
+		countForCustomer("refused." + reason.code(), customer);
 	}
 
-	private void ofCustomer(String what, @Nullable String customer) {
+	private void countForCustomer(String what, @Nullable String customer) {
 		if (customer != null) {
-			this.registry.counter("customer." + what + "." + series(customer)).inc();
+			this.registry.counter("customer." + what + "." + seriesName(customer)).inc();
 		}
 	}
 
-	private String series(String customer) {
-		if (this.customers.size() < MOST_CUSTOMERS) {
+	private String seriesName(String customer) {
+		if (this.customers.size() < MAX_CUSTOMER_SERIES) {
 			this.customers.add(customer);
 		}
 		return this.customers.contains(customer) ? customer : OTHERS;
@@ -73,7 +73,7 @@
 		this.registry.counter("relay.sent-to-vanished").inc();
 	}
 
-	void limitNamed() {
+	void limitChanged() {
 		this.registry.counter("relay.limit-changed").inc();
 	}
 
@@ -89,11 +89,11 @@
 		this.registry.counter("relay.retried").inc();
 	}
 
-	void callerGone() {
+	void callerDisconnected() {
 		this.registry.counter("relay.caller-gone").inc();
 	}
 
-	void brokenOff() {
+	void responseAborted() {
 		this.registry.counter("relay.broken-off").inc();
 	}
 
--- a/src/main/java/io/shallotspur/gateway/RelayRequest.java
+++ b/src/main/java/io/shallotspur/gateway/RelayRequest.java
@@ -13,7 +13,7 @@
  * @param host the host that the caller named
  * @param headers the fields to be relayed, without those of one connection
  * @param body the body; empty if there is none
- * @param waitMs how long the caller waits from the arrival on, in milliseconds, or
+ * @param callerTimeoutMs how long the caller waits from the arrival on, in milliseconds, or
  * {@link Long#MAX_VALUE} if it does not say
  * @param prompt what the request says of its prompt, or {@code null}
  * @param lastEventId the event after which a resumed stream goes on, or {@code null}
@@ -21,7 +21,7 @@
  * none, or none that can be read
  */
 public record RelayRequest(String id, String method, String target, String host, List<HeaderField> headers, byte[] body,
-		long waitMs, @Nullable PromptShape prompt, @Nullable String lastEventId, @Nullable String keyHash) {
+		long callerTimeoutMs, @Nullable PromptShape prompt, @Nullable String lastEventId, @Nullable String keyHash) {
 
 	/**
 	 * Creates a request; the list is copied.
--- a/src/main/java/io/shallotspur/gateway/RelayTask.java
+++ b/src/main/java/io/shallotspur/gateway/RelayTask.java
@@ -14,7 +14,7 @@
  * Invariants: the caller is answered once; a request that may have run is never answered
  * as not run, and is sent again only if a second run does no harm.
  */
-final class RelayTask implements Attempt.Sink, Placing.Sink {
+final class RelayTask implements Attempt.Listener, Placing.Sink {
 
 	// The worker stops by itself at the end of its time; its own answer is worth waiting
 	// for a little, ms. Answers cross a hall in a few ms.
@@ -22,88 +22,88 @@
 
 	// With less time than this left no worker can answer, ms: the fastest answer takes
 	// two crossings and a few ms of work.
-	private static final long LEAST_ATTEMPT_MS = 10;
+	private static final long MIN_ATTEMPT_MS = 10;
 
-	private final Gateway g;
+	private final Gateway gateway;
 
-	private final Admitted admitted;
+	private final AdmittedRequest admitted;
 
 	private final Route route;
 
 	private final RelayRequest request;
 
-	private final CallerAnswer answer;
+	private final CallerResponse response;
 
 	private final String upstream;
 
 	private final long arrivedAt;
 
-	private final long answerBy;
+	private final long deadline;
 
 	private final Placing placing;
 
-	private final AnswerProgress progress;
+	private final ResponseProgress progress;
 
 	private AttemptHistory history = AttemptHistory.NONE;
 
 	private @Nullable Attempt attempt;
 
-	private long attemptAt;
+	private long attemptStartedAt;
 
 	private Runnable cancelDeadline = () -> {
 	};
 
-	private boolean prefillsThere;
+	private boolean prefillsAtWorker;
 
-	private boolean begun;
+	private boolean responseStarted;
 
 	private boolean finished;
 
-	RelayTask(Gateway g, Admitted admitted, CallerAnswer answer, long arrivedAt) {
-		this.g = g;
+	RelayTask(Gateway g, AdmittedRequest admitted, CallerResponse answer, long arrivedAt) {
+		this.gateway = g;
 		this.admitted = admitted;
 		this.route = admitted.route();
 		this.request = admitted.request();
-		this.answer = answer;
+		this.response = answer;
 		this.arrivedAt = arrivedAt;
-		this.answerBy = arrivedAt + Math.min(this.request.waitMs(), this.route.timeoutMs());
+		this.deadline = arrivedAt + Math.min(this.request.callerTimeoutMs(), this.route.timeoutMs());
 		this.upstream = this.route.chooseUpstream(g.random.next());
-		UpstreamSpec spec = admitted.table().upstream(this.upstream).orElse(null);
-		this.progress = new AnswerProgress((spec != null) ? spec.engine() : null, this.request.lastEventId());
-		this.placing = new Placing(g, admitted, this.upstream, spec, this, arrivedAt, this.answerBy);
+		UpstreamSpec spec = admitted.routeTable().upstream(this.upstream).orElse(null);
+		this.progress = new ResponseProgress((spec != null) ? spec.engine() : null, this.request.lastEventId());
+		this.placing = new Placing(g, admitted, this.upstream, spec, this, arrivedAt, this.deadline);
 	}
 
 	void start(long now) {
-		this.g.retries.firstTry(this.upstream, now);
-		long callerLeft = this.request.waitMs() - (this.answerBy - this.arrivedAt);
+		this.gateway.retryBudget.firstTry(this.upstream, now);
+		long callerLeft = this.request.callerTimeoutMs() - (this.deadline - this.arrivedAt);
 		long slack = Math.min(WORKER_TIMEOUT_SLACK_MS, callerLeft);
-		this.cancelDeadline = this.g.timer.after(this.answerBy + slack - now, this::timeUp);
+		this.cancelDeadline = this.gateway.timer.schedule(this.deadline + slack - now, this::onDeadline);
 		if (this.request.prompt() != null) {
-			this.g.times(this.upstream).asked(this.request.prompt());
+			this.gateway.engineTimes(this.upstream).asked(this.request.prompt());
 		}
 		this.placing.start(now);
 	}
 
 	@Override
 	public void ready(WorkerState w, WorkerCall call, long now) {
-		this.attemptAt = now;
+		this.attemptStartedAt = now;
 		w.started();
-		this.g.sent(w, now);
+		this.gateway.recordSent(w, now);
 		if (w.onGrace()) {
-			this.g.metrics.sentToVanished();
+			this.gateway.metrics.sentToVanished();
 			note("sent to vanished worker=" + w.info().id(), now);
 		}
-		this.g.roster.detector(this.upstream).started(w.info().id(), now);
-		Attempt a = new Attempt(this, w, this.route.kind() == RouteKind.STREAM, this.begun);
+		this.gateway.roster.detector(this.upstream).started(w.info().id(), now);
+		Attempt a = new Attempt(this, w, this.route.kind() == RouteKind.STREAM, this.responseStarted);
 		this.attempt = a;
-		this.prefillsThere = call.kvSource() == null && this.request.prompt() != null;
-		w.prefilling(this.prefillsThere ? 1 : 0);
-		a.send(this.g.workers, call.withLastEventId(this.progress.lastEventId()));
+		this.prefillsAtWorker = call.kvSource() == null && this.request.prompt() != null;
+		w.prefilling(this.prefillsAtWorker ? 1 : 0);
+		a.send(this.gateway.workerPort, call.withLastEventId(this.progress.lastEventId()));
 	}
 
 	@Override
 	public void nowhere(RefusalReason reason, long now) {
-		refuseOrReport(reason, now);
+		refuseOrAbort(reason, now);
 	}
 
 	@Override
@@ -122,7 +122,7 @@
 
 	@Override
 	public int received() {
-		return this.progress.received();
+		return this.progress.receivedTokens();
 	}
 
 	@Override
@@ -136,93 +136,93 @@
 	}
 
 	@Override
-	public void head(AnswerHead head) {
+	public void onHead(ResponseHead head) {
 		if (this.attempt == null) {
 			return;
 		}
 		WorkerState w = this.attempt.worker();
-		this.g.told(w, head.news(), this.attemptAt);
-		if (head.otherWorker()) {
-			this.g.roster.replaced(w.info().id(), this.placing.stage(), this.g.clock.getAsLong());
+		this.gateway.updateWorkerStatus(w, head.workerStatus(), this.attemptStartedAt);
+		if (head.otherIncarnation()) {
+			this.gateway.roster.replaced(w.info().id(), this.placing.stage(), this.gateway.clock.getAsLong());
 		}
 	}
 
 	@Override
-	public void begin(AnswerHead head) {
-		this.begun = true;
-		this.answer.begin(head.status(), head.headers());
+	public void onResponseStart(ResponseHead head) {
+		this.responseStarted = true;
+		this.response.start(head.status(), head.headers());
 		firstByte();
 	}
 
 	@Override
-	public void event(byte[] event) {
-		this.progress.event(event, this.attemptAt, this.g.times(this.upstream), this.g.clock.getAsLong());
-		this.answer.write(event);
+	public void onEvent(byte[] event) {
+		this.progress.recordEvent(event, this.attemptStartedAt, this.gateway.engineTimes(this.upstream), this.gateway.clock.getAsLong());
+		this.response.write(event);
 	}
 
 	@Override
-	public void bytes(byte[] bytes) {
-		this.answer.write(bytes);
+	public void onBytes(byte[] bytes) {
+		this.response.write(bytes);
 	}
 
-	private void prefillOver() {
-		if (this.prefillsThere && this.attempt != null) {
+	private void prefillFinished() {
+		if (this.prefillsAtWorker && this.attempt != null) {
 			this.attempt.worker().prefilling(-1);
-			this.prefillsThere = false;
+			this.prefillsAtWorker = false;
 		}
 	}
 
 	private void firstByte() {
-		long now = this.g.clock.getAsLong();
-		this.progress.firstByte(now);
-		prefillOver();
-		this.g.metrics.firstByte(this.route.name(), now - this.arrivedAt);
+		long now = this.gateway.clock.getAsLong();
+		this.progress.recordFirstByte(now);
+		prefillFinished();
+		this.gateway.metrics.firstByte(this.route.name(), now - this.arrivedAt);
 		if (this.attempt != null) {
 			String id = this.attempt.worker().info().id();
-			this.g.times(this.upstream).firstByte(now - Math.max(this.arrivedAt, this.placing.heldAt()));
-			this.g.roster.detector(this.upstream).succeeded(id, now - this.attemptAt, now);
+			this.gateway.engineTimes(this.upstream).firstByte(now - Math.max(this.arrivedAt, this.placing.heldAt()));
+			this.gateway.roster.detector(this.upstream).succeeded(id, now - this.attemptStartedAt, now);
 			this.attempt.worker().outcome(false);
 		}
 	}
 
 	@Override
-	public void succeeded(AnswerHead head, byte[] body, boolean inParts) {
-		long now = this.g.clock.getAsLong();
+	public void onSuccess(ResponseHead head, byte[] body, boolean inParts) {
+		long now = this.gateway.clock.getAsLong();
 		if (!inParts) {
 			firstByte();
 		}
-		this.g.metrics.answered(this.route.name(), this.admitted.customerName(), now - this.arrivedAt);
+		this.gateway.metrics.answered(this.route.name(), this.admitted.customerName(), now - this.arrivedAt);
 		PromptShape p = this.request.prompt();
 		if (inParts && p != null && this.request.lastEventId() == null) {
-			this.g.times(this.upstream).streamed(now - this.progress.firstAt(), p, received());
+			this.gateway.engineTimes(this.upstream).streamed(now - this.progress.firstByteAt(), p, received());
 		}
-		log(now, "answered status=" + head.status() + times());
+		log(now, "answered status=" + head.status() + timingFields());
 		endAttempt();
 		finish();
 		if (inParts) {
-			this.answer.end();
+			this.response.complete();
 		}
 		else {
-			this.answer.whole(head.status(), head.headers(), body);
+			this.response.send(head.status(), head.headers(), body);
 		}
 	}
 
 	@Override
-	public void failed(AttemptEnd end, String reason, @Nullable AnswerHead head, byte[] body) {
-		long now = this.g.clock.getAsLong();
+	public void onFailure(AttemptEnd end, String reason, @Nullable ResponseHead head, byte[] body) {
+		long now = this.gateway.clock.getAsLong();
 		this.history = this.history.with(end);
-		this.g.metrics.attemptEnded(end);
+		this.gateway.metrics.attemptEnded(end);
 		note(end, now);
 		NextStep next = this.history.next(end, mayRetry(end, now));
 		log(now, "attempt=" + end + " seen=\"" + reason + "\" next=" + next);
 		endAttempt();
 		switch (next) {
 			case RETRY -> {
-				this.g.metrics.retried();
+				this.gateway.metrics.retried();
 				this.placing.start(now);
 			}
 			case RELAY_FAILURE -> relayFailure(head, body, now);
-			case REFUSE_NOT_RUN, REPORT_UNKNOWN -> refuseOrReport(reason(end), now);
+			case REFUSE_NOT_RUN, REPORT_UNKNOWN -> refuseOrAbort(refusalReason(end), now);
 		}
 	}
 
@@ -237,7 +237,7 @@
 			w.reported(new LoadReport(slots, slots, slots), now);
 		}
 		else {
-			this.g.roster.detector(this.upstream).failed(w.info().id(), now);
+			this.gateway.roster.detector(this.upstream).failed(w.info().id(), now);
 		}
 		if (end == AttemptEnd.NOT_SENT) {
 			w.unreachable(now);
@@ -248,17 +248,17 @@
 		if (!this.history.allowsAnother(this.route.maxAttempts(), this.route.repeatable())) {
 			return false;
 		}
-		if (this.begun && !this.route.resumable()) {
+		if (this.responseStarted && !this.route.resumable()) {
 			return false;
 		}
-		if (this.answerBy - now < LEAST_ATTEMPT_MS || !this.placing.anyLeft(now)) {
+		if (this.deadline - now < MIN_ATTEMPT_MS || !this.placing.anyLeft(now)) {
 			return false;
 		}
 		// What never left this VM has arrived nowhere, so it takes nothing of the budget.
-		return end == AttemptEnd.NOT_SENT || this.g.retries.tryRetry(this.upstream, this.g.vms, now);
+		return end == AttemptEnd.NOT_SENT || this.gateway.retryBudget.tryRetry(this.upstream, this.gateway.entryVms, now);
 	}
 
-	private static RefusalReason reason(AttemptEnd end) {
+	private static RefusalReason refusalReason(AttemptEnd end) {
 		return switch (end) {
 			case NOT_SENT -> RefusalReason.NO_WORKER;
 			case NOT_RUN -> RefusalReason.WORKERS_FULL;
@@ -267,26 +267,26 @@
 	}
 
 	// Where the time went, counted from the arrival, ms.
-	private String times() {
+	private String timingFields() {
 		long held = Math.max(this.arrivedAt, this.placing.heldAt());
 		return " tokens=" + this.placing.tokens() + " held-ms=" + (held - this.arrivedAt) + " sent-ms="
-				+ (this.attemptAt - this.arrivedAt) + " first-ms=" + (this.progress.firstAt() - this.arrivedAt)
+				+ (this.attemptStartedAt - this.arrivedAt) + " first-ms=" + (this.progress.firstByteAt() - this.arrivedAt)
 				+ " pause-ms=" + this.progress.longestPauseMs();
 	}
 
-	private void relayFailure(@Nullable AnswerHead head, byte[] body, long now) {
-		if (head == null || this.begun) {
-			refuseOrReport(RefusalReason.WORKER_LOST, now);
+	private void relayFailure(@Nullable ResponseHead head, byte[] body, long now) {
+		if (head == null || this.responseStarted) {
+			refuseOrAbort(RefusalReason.WORKER_LOST, now);
 			return;
 		}
 		log(now, "failed status=" + head.status());
 		finish();
-		this.answer.whole(head.status(), head.headers(), body);
+		this.response.send(head.status(), head.headers(), body);
 	}
 
-	private void refuseOrReport(RefusalReason reason, long now) {
-		if (this.begun) {
-			breakOff(reason, now);
+	private void refuseOrAbort(RefusalReason reason, long now) {
+		if (this.responseStarted) {
+			abortResponse(reason, now);
 		}
 		else if (this.history.mayHaveRun()) {
 			refuse(new RelayRefusal(RelayRefusal.OUTCOME_UNKNOWN, reason, 0), now);
@@ -297,26 +297,26 @@
 	}
 
 	private long retryAfterMs(RefusalReason reason, long now) {
-		double draw = this.g.random.next();
-		long left = this.request.waitMs() - (now - this.arrivedAt);
+		double draw = this.gateway.random.next();
+		long left = this.request.callerTimeoutMs() - (now - this.arrivedAt);
 		if (reason == RefusalReason.WORKERS_LIMITED) {
 			return RetryAdvice.afterRefillMs(this.placing.limitWaitMs(now), left, draw);
 		}
 		boolean late = now > this.placing.latestStart();
-		boolean known = this.request.waitMs() != Long.MAX_VALUE;
+		boolean known = this.request.callerTimeoutMs() != Long.MAX_VALUE;
 		if (late && known && this.route.kind() == RouteKind.STREAM) {
 			return Math.max(1, RetryAdvice.afterLateMs(left, this.placing.answerMs(), draw));
 		}
 		return RetryAdvice.afterMs(this.route, draw);
 	}
 
-	private void timeUp() {
+	private void onDeadline() {
 		if (this.finished) {
 			return;
 		}
-		long now = this.g.clock.getAsLong();
-		if (this.begun) {
-			breakOff(RefusalReason.TIMED_OUT, now);
+		long now = this.gateway.clock.getAsLong();
+		if (this.responseStarted) {
+			abortResponse(RefusalReason.TIMED_OUT, now);
 		}
 		else {
 			refuse(new RelayRefusal(RelayRefusal.TIMED_OUT, RefusalReason.TIMED_OUT, 0), now);
@@ -325,37 +325,37 @@
 
 	private void refuse(RelayRefusal r, long now) {
 		cancelAttempt();
-		giveBack(r);
-		this.g.metrics.refused(r.code(), this.admitted.customerName());
+		refundQuota(r);
+		this.gateway.metrics.refused(r.code(), this.admitted.customerName());
 		log(now, "refused status=" + r.status() + " reason=" + r.code().code() + " retry-after-ms=" + r.retryAfterMs());
 		finish();
-		this.answer.refuse(r);
+		this.response.refuse(r);
 	}
 
 	// What has not run is not charged: the caller is told to come back, and would pay
 	// twice.
-	private void giveBack(RelayRefusal r) {
+	private void refundQuota(RelayRefusal r) {
 		Customer c = this.admitted.customer();
 		if (c != null && r.status() == RelayRefusal.NOT_RUN) {
-			this.g.quotas.giveBack(c, this.admitted.cost());
+			this.gateway.quotas.giveBack(c, this.admitted.quotaCost());
 		}
 	}
 
-	private void breakOff(RefusalReason reason, long now) {
+	private void abortResponse(RefusalReason reason, long now) {
 		cancelAttempt();
-		this.g.metrics.brokenOff();
+		this.gateway.metrics.responseAborted();
 		log(now, "broken-off reason=" + reason.code() + " last-event=" + this.progress.lastEventId());
 		finish();
-		this.answer.breakOff();
+		this.response.abort();
 	}
 
-	void callerGone() {
+	void callerDisconnected() {
 		if (this.finished) {
 			return;
 		}
 		cancelAttempt();
-		this.g.metrics.callerGone();
-		log(this.g.clock.getAsLong(), "caller-gone");
+		this.gateway.metrics.callerDisconnected();
+		log(this.gateway.clock.getAsLong(), "caller-gone");
 		finish();
 	}
 
@@ -371,10 +371,10 @@
 		if (this.attempt != null) {
 			WorkerState w = this.attempt.worker();
 			w.ended();
-			w.lasted(this.g.clock.getAsLong() - this.attemptAt);
-			prefillOver();
+			w.lasted(this.gateway.clock.getAsLong() - this.attemptStartedAt);
+			prefillFinished();
 			this.attempt = null;
-			this.g.freed(this.upstream, w.info().id());
+			this.gateway.onCapacityFreed(this.upstream, w.info().id());
 		}
 	}
 
@@ -383,15 +383,15 @@
 	private void finish() {
 		this.finished = true;
 		this.cancelDeadline.run();
-		this.g.ended();
+		this.gateway.requestFinished();
 	}
 
 	private void log(long now, String what) {
 		String worker = (this.attempt != null) ? this.attempt.worker().info().id() : "none";
-		this.g.log.write(now,
+		this.gateway.log.write(now,
 				() -> "id=" + this.request.id() + " route=" + this.route.name() + " upstream=" + this.upstream
 						+ " customer=" + this.admitted.customerName() + " worker=" + worker + " config="
-						+ this.admitted.table().version() + " sends=" + this.history.sends() + " ms="
+						+ this.admitted.routeTable().version() + " sends=" + this.history.sends() + " ms="
 						+ (now - this.arrivedAt) + " " + what);
 	}
 
--- /dev/null
+++ b/src/main/java/io/shallotspur/gateway/RequestAdmission.java
@@ -0,0 +1,172 @@
+package io.shallotspur.gateway;
+
+import java.util.Optional;
+
+import org.jspecify.annotations.Nullable;
+
+import io.shallotspur.route.Customer;
+import io.shallotspur.route.Route;
+import io.shallotspur.route.RouteTable;
+
+/**
+ * A request between its arrival and its way to a worker: finds its route, whose it is,
+ * and whether that customer may still ask for it. Not thread-safe; confined to the
+ * gateway's thread.
+ * <p>
+ * Invariant: the request is refused or handed on once, unless its caller leaves before.
+ */
+final class RequestAdmission {
+
+	private static final int UNAUTHORIZED = 401;
+
+	private static final int NOT_FOUND = 404;
+
+	// Until the first configuration has come, which takes a second or so
+	// after a start, ms.
+	private static final long STARTUP_RETRY_MS = 500;
+
+	// The callers of a VM that leaves go to another one, which is there already, ms.
+	private static final long DRAINING_RETRY_MS = 50;
+
+	// The store answers in a few ms, a slow one in some hundred. A caller that waits
+	// longer for nothing but its permission would better ask another VM, ms.
+	private static final long MAX_CONFIG_REFRESH_MS = 500;
+
+	// The part of the latency objective that may go into it.
+	private static final double CONFIG_REFRESH_SHARE = 0.5;
+
+	private final Gateway gateway;
+
+	private final RelayRequest request;
+
+	private final CallerResponse response;
+
+	private final long arrivedAt;
+
+	private @Nullable RelayTask relayTask;
+
+	private boolean done;
+
+	private boolean awaitingConfig;
+
+	private Runnable cancelTimer = () -> {
+	};
+
+	RequestAdmission(Gateway g, RelayRequest request, CallerResponse answer, long arrivedAt) {
+		this.gateway = g;
+		this.request = request;
+		this.response = answer;
+		this.arrivedAt = arrivedAt;
+	}
+
+	void start() {
+		route(true, this.arrivedAt);
+	}
+
+	// The store is asked once; what is known after that decides.
+	private void route(boolean mayAsk, long now) {
+		RouteTable t = this.gateway.routeTable().orElse(null);
+		if (t == null) {
+			refuse(RelayRefusal.notRun(RefusalReason.NO_CONFIGURATION, STARTUP_RETRY_MS), now);
+			return;
+		}
+		Optional<Route> r = t.find(this.request.host(), this.request.path());
+		if (r.isEmpty()) {
+			refuse(new RelayRefusal(NOT_FOUND, RefusalReason.NO_ROUTE, 0), now);
+		}
+		else if (this.gateway.exceedsShutdown(r.get(), this.request, now)) {
+			refuse(RelayRefusal.notRun(RefusalReason.LEAVING, DRAINING_RETRY_MS), now);
+		}
+		else {
+			authenticate(t, r.get(), mayAsk, now);
+		}
+	}
+
+	private void authenticate(RouteTable t, Route r, boolean mayAsk, long now) {
+		KeyCheck.Verdict v = KeyCheck.of(t, r, this.request.keyHash(), this.gateway.configAgeMs(),
+				this.gateway.settings.revokedKeyMs());
+		switch (v.action()) {
+			case ADMIT -> chargeQuota(t, r, v.customer(), now);
+			case DENY -> refuse(new RelayRefusal(UNAUTHORIZED, RefusalReason.UNKNOWN_KEY, 0), now);
+			case PROVE -> refreshConfig(r, mayAsk, now);
+		}
+	}
+
+	private void refreshConfig(Route r, boolean mayAsk, long now) {
+		if (!mayAsk) {
+			long after = RetryAdvice.afterMs(r, this.gateway.random.next());
+			refuse(RelayRefusal.notRun(RefusalReason.KEY_UNPROVEN, after), now);
+			return;
+		}
+		this.awaitingConfig = true;
+		long most = Math.min(MAX_CONFIG_REFRESH_MS, Math.max(1, (long) (CONFIG_REFRESH_SHARE * r.targetMs())));
+		this.cancelTimer = this.gateway.timer.schedule(most, this::configRefreshed);
+		this.gateway.refreshConfig(this::configRefreshed);
+	}
+
+	private void configRefreshed() {
+		if (this.done || !this.awaitingConfig) {
+			return;
+		}
+		this.awaitingConfig = false;
+		this.cancelTimer.run();
+		route(false, this.gateway.clock.getAsLong());
+	}
+
+	private void chargeQuota(RouteTable t, Route r, @Nullable Customer c, long now) {
+		double cost = (c != null) ? quotaCost(c) : 0;
+		long wait = (c != null) ? this.gateway.quotas.take(c, cost, QuotaPart.of(this.gateway.entryVms, now), now) : 0;
+		if (wait > 0) {
+			long after = RetryAdvice.afterRefillMs(wait, this.request.callerTimeoutMs(), this.gateway.random.next());
+			refuse(new RelayRefusal(RelayRefusal.TOO_MANY, RefusalReason.OVER_QUOTA, after), c, now);
+			return;
+		}
+		if (c != null) {
+			this.gateway.refreshConfigIfStale();
+		}
+		relay(new AdmittedRequest(this.request, t, r, c, cost), now);
+	}
+
+	private double quotaCost(Customer c) {
+		PromptShape p = this.request.prompt();
+		return (p != null) ? c.quota().cost(p.promptTokens(), p.maxOutputTokens()) : c.quota().plainCost();
+	}
+
+	private void relay(AdmittedRequest a, long now) {
+		this.done = true;
+		this.gateway.metrics.requestArrived(a.route().name(), a.customerName());
+		RelayTask next = new RelayTask(this.gateway, a, this.response, this.arrivedAt);
+		this.relayTask = next;
+		next.start(now);
+	}
+
+	private void refuse(RelayRefusal refusal, long now) {
+		refuse(refusal, null, now);
+	}
+
+	private void refuse(RelayRefusal refusal, @Nullable Customer c, long now) {
+		this.done = true;
+		this.gateway.requestFinished();
+		String customer = (c != null) ? c.name() : null;
+		this.gateway.metrics.refused(refusal.code(), customer);
+		long version = this.gateway.routeTable().map(RouteTable::version).orElse(0L);
+		this.gateway.log.write(now,
+				() -> "id=" + this.request.id() + " customer=" + customer + " refused status=" + refusal.status()
+						+ " reason=" + refusal.code().code() + " retry-after-ms=" + refusal.retryAfterMs() + " config="
+						+ version);
+		this.response.refuse(refusal);
+	}
+
+	void callerDisconnected() {
+		RelayTask t = this.relayTask;
+		if (t != null) {
+			t.callerDisconnected();
+		}
+		else if (!this.done) {
+			this.done = true;
+			this.cancelTimer.run();
+			this.gateway.requestFinished();
+		}
+	}
+
+}
--- a/src/main/java/io/shallotspur/gateway/CallerAges.java
+++ b/src/main/java/io/shallotspur/gateway/RequestAgeEstimator.java
@@ -12,12 +12,12 @@
  * time, though its own answer is late already. The time that callers of a route have at
  * their first try is the longest one seen.
  */
-final class CallerAges {
+final class RequestAgeEstimator {
 
 	// Configurations bring new routes; forgetting the oldest only costs an estimate.
-	private static final int MOST_ROUTES = 10_000;
+	private static final int MAX_ROUTES = 10_000;
 
-	private final Map<String, Long> longestWait = new HashMap<>();
+	private final Map<String, Long> longestTimeoutMs = new HashMap<>();
 
 	/**
 	 * Returns how long ago the caller first asked.
@@ -29,10 +29,10 @@
 		if (waitMs == Long.MAX_VALUE) {
 			return 0;
 		}
-		if (this.longestWait.size() > MOST_ROUTES) {
-			this.longestWait.clear();
+		if (this.longestTimeoutMs.size() > MAX_ROUTES) {
+			this.longestTimeoutMs.clear();
 		}
-		return this.longestWait.merge(route, waitMs, Math::max) - waitMs;
+		return this.longestTimeoutMs.merge(route, waitMs, Math::max) - waitMs;
 	}
 
 }
--- a/src/main/java/io/shallotspur/gateway/AnswerOrigin.java
+++ b/src/main/java/io/shallotspur/gateway/ResponseAuthenticity.java
@@ -3,7 +3,7 @@
 /**
  * Whether an answer may be taken for the answer to the request it followed.
  */
-public enum AnswerOrigin {
+public enum ResponseAuthenticity {
 
 	/**
 	 * It names this request and bears the worker's signature.
@@ -19,6 +19,6 @@
 	/**
 	 * It belongs to another request or was altered on the way.
 	 */
-	FOREIGN
+	MISMATCHED
 
 }
--- a/src/main/java/io/shallotspur/gateway/AnswerProgress.java
+++ b/src/main/java/io/shallotspur/gateway/ResponseProgress.java
@@ -8,32 +8,32 @@
  * How far the answer to one request has come, over all its attempts. Not thread-safe;
  * confined to the gateway's thread.
  */
-final class AnswerProgress {
+final class ResponseProgress {
 
-	private final int eventTokens;
+	private final int tokensPerEvent;
 
 	private final AnswerPace pace = new AnswerPace();
 
 	private @Nullable String lastEventId;
 
-	private long firstAt;
+	private long firstByteAt;
 
 	/**
 	 * Creates the progress of an answer that has not begun here.
 	 * @param engine the engines, if the request is for any
 	 * @param lastEventId the event after which it is to go on, or {@code null}
 	 */
-	AnswerProgress(@Nullable EngineSpec engine, @Nullable String lastEventId) {
-		this.eventTokens = (engine != null) ? engine.eventTokens() : 0;
+	ResponseProgress(@Nullable EngineSpec engine, @Nullable String lastEventId) {
+		this.tokensPerEvent = (engine != null) ? engine.eventTokens() : 0;
 		this.lastEventId = lastEventId;
 	}
 
-	void firstByte(long now) {
-		this.firstAt = now;
+	void recordFirstByte(long now) {
+		this.firstByteAt = now;
 	}
 
-	long firstAt() {
-		return this.firstAt;
+	long firstByteAt() {
+		return this.firstByteAt;
 	}
 
 	@Nullable String lastEventId() {
@@ -44,8 +44,8 @@
 	 * Returns how much of the answer its caller has got here.
 	 * @return tokens, as far as the operator says how many an event has
 	 */
-	int received() {
-		return this.pace.events() * this.eventTokens;
+	int receivedTokens() {
+		return this.pace.events() * this.tokensPerEvent;
 	}
 
 	long longestPauseMs() {
@@ -59,8 +59,8 @@
 	 * @param times learn the pace
 	 * @param now the present time in milliseconds
 	 */
-	void event(byte[] event, long attemptAt, EngineTimes times, long now) {
-		String id = EventSplitter.id(event);
+	void recordEvent(byte[] event, long attemptAt, EngineTimes times, long now) {
+		String id = EventSplitter.eventId(event);
 		if (!id.isEmpty()) {
 			this.lastEventId = id;
 		}
@@ -68,7 +68,7 @@
 		boolean sameAttempt = this.pace.latestAt() > attemptAt;
 		long pause = this.pace.event(now);
 		if (sameAttempt) {
-			times.event(pause, this.eventTokens);
+			times.event(pause, this.tokensPerEvent);
 		}
 	}
 
--- a/src/main/java/io/shallotspur/gateway/RetryAllowance.java
+++ b/src/main/java/io/shallotspur/gateway/RetryAllowance.java
@@ -38,7 +38,7 @@
 		window(upstream, now).first.add(now);
 	}
 
-	boolean tryRetry(String upstream, EntryVms vms, long now) {
+	boolean tryRetry(String upstream, EntryVmDirectory vms, long now) {
 		Window w = window(upstream, now);
 		double most = this.settings.retryRatio() * w.first.size() + slackShare(vms, now);
 		if (w.retries.size() + 1 > most) {
@@ -48,12 +48,12 @@
 		return true;
 	}
 
-	private double slackShare(EntryVms vms, long now) {
+	private double slackShare(EntryVmDirectory vms, long now) {
 		double ofAll = this.settings.retrySlack() / (Math.max(1, vms.count(now)) + UNHEARD_VMS);
-		if (vms.standsBy(now)) {
+		if (vms.isStandby(now)) {
 			return (1 - SERVING_PART) * ofAll;
 		}
-		double ofServing = this.settings.retrySlack() / (vms.servingCount(now) + UNHEARD_VMS);
+		double ofServing = this.settings.retrySlack() / (vms.servingCountOwnRegion(now) + UNHEARD_VMS);
 		return (1 - SERVING_PART) * ofAll + SERVING_PART * ofServing;
 	}
 
--- a/src/main/java/io/shallotspur/gateway/ServingSet.java
+++ b/src/main/java/io/shallotspur/gateway/ServingVmSelector.java
@@ -18,20 +18,20 @@
  * VMs say of themselves; no size is assumed. The halls take turns, so that the loss of
  * one leaves a VM that callers know.
  */
-final class ServingSet {
+final class ServingVmSelector {
 
 	// VMs with room in each set: the loss of one leaves another that callers know
 	// already.
-	private static final int WITH_ROOM = 2;
+	private static final int MIN_VMS_WITH_CAPACITY = 2;
 
 	// The strongest first; among equals, the order of the keys' hashes, so that VMs whose
 	// addresses are close, and may fail together, do not come together.
 	private static final Comparator<EntryVm> ORDER = Comparator.comparingDouble(EntryVm::cores)
 		.reversed()
-		.thenComparingInt((v) -> spread(v.key()))
+		.thenComparingInt((v) -> mixedHash(v.key()))
 		.thenComparing(EntryVm::key);
 
-	private ServingSet() {
+	private ServingVmSelector() {
 	}
 
 	/**
@@ -39,24 +39,24 @@
 	 * @param vms the VMs that take callers
 	 * @return those to be used, in the agreed order
 	 */
-	static List<EntryVm> of(List<EntryVm> vms) {
-		List<EntryVm> left = new ArrayList<>(vms.stream().sorted(ORDER).toList());
-		List<EntryVm> l = new ArrayList<>();
-		while (!left.isEmpty() && l.stream().filter((v) -> !v.crowded()).count() < WITH_ROOM) {
-			EntryVm next = left.stream().min(Comparator.comparingLong((v) -> inHall(l, v.hall()))).orElseThrow();
-			left.remove(next);
-			l.add(next);
+	static List<EntryVm> select(List<EntryVm> vms) {
+		List<EntryVm> remaining = new ArrayList<>(vms.stream().sorted(ORDER).toList());
+		List<EntryVm> selected = new ArrayList<>();
+		while (!remaining.isEmpty() && selected.stream().filter((v) -> !v.overloaded()).count() < MIN_VMS_WITH_CAPACITY) {
+			EntryVm next = remaining.stream().min(Comparator.comparingLong((v) -> countInHall(selected, v.hall()))).orElseThrow();
+			remaining.remove(next);
+			selected.add(next);
 		}
-		return l;
+		return selected;
 	}
 
-	private static long inHall(List<EntryVm> l, String hall) {
+	private static long countInHall(List<EntryVm> l, String hall) {
 		return l.stream().filter((v) -> v.hall().equals(hall)).count();
 	}
 
 	// Keys that differ in one character have hashes that differ little; the product of
 	// the finalizer of a multiplicative hash spreads them.
-	private static int spread(String key) {
+	private static int mixedHash(String key) {
 		int h = key.hashCode() * 0x9E3779B9;
 		return h ^ (h >>> 15);
 	}
--- a/src/main/java/io/shallotspur/gateway/WorkerCall.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerCall.java
@@ -7,15 +7,15 @@
  *
  * @param request the caller's request
  * @param worker the worker; a different one at its address must not run the request
- * @param timeLeftMs how long the worker may take, in milliseconds
+ * @param timeoutMs how long the worker may take, in milliseconds
  * @param priority the rank at the worker, 0 is the highest
  * @param lastEventId the event after which the answer goes on, or {@code null}
  * @param kvSource where the prompt's KV cache is to be fetched from, or {@code null}
- * @param hold the reservation to be used, or {@code null}
+ * @param reservation the reservation to be used, or {@code null}
  * @param customer the customer whose request it is, or {@code null}
  */
-public record WorkerCall(RelayRequest request, WorkerInfo worker, long timeLeftMs, int priority,
-		@Nullable String lastEventId, @Nullable KvSource kvSource, @Nullable String hold, @Nullable String customer) {
+public record WorkerCall(RelayRequest request, WorkerInfo worker, long timeoutMs, int priority,
+		@Nullable String lastEventId, @Nullable KvSource kvSource, @Nullable String reservation, @Nullable String customer) {
 
 	/**
 	 * Returns this call with another place to go on from.
@@ -23,7 +23,7 @@
 	 * @return a call that differs in that only
 	 */
 	public WorkerCall withLastEventId(@Nullable String id) {
-		return new WorkerCall(this.request, this.worker, this.timeLeftMs, this.priority, id, this.kvSource, this.hold,
+		return new WorkerCall(this.request, this.worker, this.timeoutMs, this.priority, id, this.kvSource, this.reservation,
 				this.customer);
 	}
 
--- a/src/main/java/io/shallotspur/gateway/WorkerLimits.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerLimits.java
@@ -6,7 +6,7 @@
  */
 final class WorkerLimits {
 
-	private final EntryVms vms;
+	private final EntryVmDirectory vms;
 
 	private final double phase;
 
@@ -15,7 +15,7 @@
 	 * @param vms the VMs, with which limits are shared
 	 * @param phase a random number from 0 to 1
 	 */
-	WorkerLimits(EntryVms vms, double phase) {
+	WorkerLimits(EntryVmDirectory vms, double phase) {
 		this.vms = vms;
 		this.phase = phase;
 	}
--- a/src/main/java/io/shallotspur/gateway/WorkerPort.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerPort.java
@@ -25,7 +25,7 @@
 	 * Frees a KV cache that will not be fetched.
 	 * @param source the KV cache
 	 */
-	void release(KvSource source);
+	void releaseKvCache(KvSource source);
 
 	/**
 	 * Reserves a place and memory at a worker.
@@ -34,13 +34,13 @@
 	 * @param ttlMs how long the reservation lasts, in milliseconds
 	 * @param listener hears the result
 	 */
-	void hold(WorkerInfo worker, int tokens, long ttlMs, HoldListener listener);
+	void reserve(WorkerInfo worker, int tokens, long ttlMs, HoldListener listener);
 
 	/**
 	 * Gives a reservation back that will not be used.
 	 * @param worker the worker
-	 * @param hold the reservation
+	 * @param reservation the reservation
 	 */
-	void drop(WorkerInfo worker, String hold);
+	void cancelReservation(WorkerInfo worker, String reservation);
 
 }
--- a/src/main/java/io/shallotspur/platform/AnswerDecoder.java
+++ b/src/main/java/io/shallotspur/platform/AnswerDecoder.java
@@ -6,8 +6,8 @@
 import org.jspecify.annotations.Nullable;
 import org.tinylog.Logger;
 
-import io.shallotspur.gateway.AnswerHead;
-import io.shallotspur.gateway.AnswerOrigin;
+import io.shallotspur.gateway.ResponseHead;
+import io.shallotspur.gateway.ResponseAuthenticity;
 import io.shallotspur.gateway.LoadReport;
 import io.shallotspur.gateway.WorkerLimit;
 import io.shallotspur.gateway.WorkerNews;
@@ -25,15 +25,15 @@
 	private AnswerDecoder() {
 	}
 
-	static AnswerHead head(String requestId, int status, HttpHeaders h) {
+	static ResponseHead head(String requestId, int status, HttpHeaders h) {
 		boolean other = status == MISDIRECTED;
 		boolean notRun = h.contains(Names.NOT_RUN) || other;
-		AnswerOrigin origin = origin(requestId, h);
+		ResponseAuthenticity origin = origin(requestId, h);
 		// Another incarnation, and an answer to another request, say nothing of this
 		// worker at present.
-		boolean whole = origin == AnswerOrigin.SIGNED && HttpStatusClass.SUCCESS.contains(status);
-		WorkerNews news = (other || origin == AnswerOrigin.FOREIGN) ? WorkerNews.NONE : news(h, whole);
-		return new AnswerHead(status, Names.relayed(h), origin, notRun, other, news);
+		boolean whole = origin == ResponseAuthenticity.SIGNED && HttpStatusClass.SUCCESS.contains(status);
+		WorkerNews news = (other || origin == ResponseAuthenticity.MISMATCHED) ? WorkerNews.NONE : news(h, whole);
+		return new ResponseHead(status, Names.relayed(h), origin, notRun, other, news);
 	}
 
 	/**
@@ -64,15 +64,15 @@
 		return null;
 	}
 
-	private static AnswerOrigin origin(String requestId, HttpHeaders h) {
+	private static ResponseAuthenticity origin(String requestId, HttpHeaders h) {
 		String echoed = h.get(Names.REQUEST_ID);
 		// A late answer to an earlier request can come where this one's is due; only the
 		// id tells. Encoded bodies are not asked for, so they are not the worker's.
 		boolean other = echoed != null && !echoed.equals(requestId);
 		if (other || h.contains(HttpHeaderNames.CONTENT_ENCODING)) {
-			return AnswerOrigin.FOREIGN;
+			return ResponseAuthenticity.MISMATCHED;
 		}
-		return (echoed != null && h.contains(Names.SIGNATURE)) ? AnswerOrigin.SIGNED : AnswerOrigin.UNSIGNED;
+		return (echoed != null && h.contains(Names.SIGNATURE)) ? ResponseAuthenticity.SIGNED : ResponseAuthenticity.UNSIGNED;
 	}
 
 	private static @Nullable LoadReport load(@Nullable String v) {
--- a/src/main/java/io/shallotspur/platform/CallerExchange.java
+++ b/src/main/java/io/shallotspur/platform/CallerExchange.java
@@ -15,7 +15,7 @@
 import reactor.netty.NettyOutbound;
 import reactor.netty.http.server.HttpServerResponse;
 
-import io.shallotspur.gateway.CallerAnswer;
+import io.shallotspur.gateway.CallerResponse;
 import io.shallotspur.gateway.HeaderField;
 import io.shallotspur.gateway.RefusalReason;
 import io.shallotspur.gateway.RelayRefusal;
@@ -24,9 +24,9 @@
  * The answer to one caller over HTTP. Confined to the event loop.
  * <p>
  * Invariant: an answer of unknown length ends with its closing chunk only through
- * {@link #end}; {@link #breakOff} closes the connection before it.
+ * {@link #complete}; {@link #abort} closes the connection before it.
  */
-final class CallerExchange implements CallerAnswer {
+final class CallerExchange implements CallerResponse {
 
 	private static final double MS_PER_S = 1_000;
 
@@ -63,7 +63,7 @@
 	}
 
 	@Override
-	public void whole(int status, List<HeaderField> headers, byte[] body) {
+	public void send(int status, List<HeaderField> headers, byte[] body) {
 		head(status, headers);
 		this.response.header(HttpHeaderNames.CONTENT_LENGTH, Integer.toString(body.length));
 		this.output.tryEmitValue(this.response.sendObject(Unpooled.wrappedBuffer(body)));
@@ -80,11 +80,11 @@
 		if (refusal.code() == RefusalReason.BAD_REQUEST) {
 			this.response.header(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
 		}
-		whole(refusal.status(), List.of(new HeaderField("Content-Type", "text/plain")), body);
+		send(refusal.status(), List.of(new HeaderField("Content-Type", "text/plain")), body);
 	}
 
 	@Override
-	public void begin(int status, List<HeaderField> headers) {
+	public void start(int status, List<HeaderField> headers) {
 		head(status, headers);
 		NettyOutbound out = this.response.send(this.parts.asFlux(), (b) -> true);
 		this.output.tryEmitValue(out);
@@ -96,12 +96,12 @@
 	}
 
 	@Override
-	public void end() {
+	public void complete() {
 		this.parts.tryEmitComplete();
 	}
 
 	@Override
-	public void breakOff() {
+	public void abort() {
 		this.response.withConnection((c) -> c.channel().close());
 	}
 
--- a/src/main/java/io/shallotspur/platform/CallerIngress.java
+++ b/src/main/java/io/shallotspur/platform/CallerIngress.java
@@ -106,7 +106,7 @@
 	}
 
 	private Mono<Void> handle(HttpServerRequest req, HttpServerResponse res) {
-		IngressLimits limits = this.gateway.table().map(RouteTable::limits).orElse(IngressLimits.DEFAULT);
+		IngressLimits limits = this.gateway.routeTable().map(RouteTable::limits).orElse(IngressLimits.DEFAULT);
 		CallerExchange answer = new CallerExchange(res, () -> this.closing);
 		if (headerBytes(req) > limits.maxHeaderBytes()) {
 			return refuse(answer, res, HEADERS_TOO_LARGE);
--- a/src/main/java/io/shallotspur/platform/ControlServers.java
+++ b/src/main/java/io/shallotspur/platform/ControlServers.java
@@ -18,7 +18,7 @@
 import reactor.netty.http.server.HttpServerResponse;
 
 import io.shallotspur.cfg.Endpoint;
-import io.shallotspur.gateway.EntryVms;
+import io.shallotspur.gateway.EntryVmDirectory;
 
 /**
  * Answers whether the VM is ready, which addresses callers may use, and what it counts.
@@ -33,13 +33,13 @@
 
 	private final Loop loop;
 
-	private final EntryVms vms;
+	private final EntryVmDirectory vms;
 
 	private final LongSupplier clock;
 
 	private final long ttlMs;
 
-	ControlServers(Loop loop, EntryVms vms, LongSupplier clock, long ttlMs) {
+	ControlServers(Loop loop, EntryVmDirectory vms, LongSupplier clock, long ttlMs) {
 		this.loop = loop;
 		this.vms = vms;
 		this.clock = clock;
@@ -71,7 +71,7 @@
 
 	private Publisher<Void> addresses(HttpServerRequest req, HttpServerResponse res, BooleanSupplier known) {
 		List<String> regions = new QueryStringDecoder(req.uri()).parameters().getOrDefault("region", List.of(""));
-		List<String> l = this.vms.forCaller(regions.get(0), MOST_ADDRESSES, this.clock.getAsLong());
+		List<String> l = this.vms.addressesFor(regions.get(0), MOST_ADDRESSES, this.clock.getAsLong());
 		if (!known.getAsBoolean() || l.isEmpty()) {
 			return res.status(HttpResponseStatus.SERVICE_UNAVAILABLE).send();
 		}
--- a/src/main/java/io/shallotspur/platform/EntryDecoder.java
+++ b/src/main/java/io/shallotspur/platform/EntryDecoder.java
@@ -175,7 +175,7 @@
 			.put("region", vm.region())
 			.put("hall", vm.hall())
 			.put("cores", vm.cores())
-			.put("crowded", vm.crowded() ? 1 : 0));
+			.put("crowded", vm.overloaded() ? 1 : 0));
 	}
 
 	static String encode(ObjectNode n) {
--- a/src/main/java/io/shallotspur/platform/HttpWorkerPort.java
+++ b/src/main/java/io/shallotspur/platform/HttpWorkerPort.java
@@ -23,8 +23,8 @@
 import reactor.netty.http.client.HttpClientResponse;
 import reactor.netty.resources.ConnectionProvider;
 
-import io.shallotspur.gateway.AnswerHead;
-import io.shallotspur.gateway.AnswerOrigin;
+import io.shallotspur.gateway.ResponseHead;
+import io.shallotspur.gateway.ResponseAuthenticity;
 import io.shallotspur.gateway.Exchange;
 import io.shallotspur.gateway.ExchangeFailure;
 import io.shallotspur.gateway.ExchangeListener;
@@ -128,7 +128,7 @@
 		return d::dispose;
 	}
 
-	private static AnswerHead head(RelayRequest request, HttpClientResponse r) {
+	private static ResponseHead head(RelayRequest request, HttpClientResponse r) {
 		return AnswerDecoder.head(request.id(), r.status().code(), r.responseHeaders());
 	}
 
@@ -148,14 +148,14 @@
 	}
 
 	private static Prefilled prefilled(RelayRequest request, HttpClientResponse r, byte[] body) {
-		AnswerHead head = head(request, r);
+		ResponseHead head = head(request, r);
 		String handle = handle(head, body);
 		// Answers to prefills are not signed; one with a handle is the worker's.
-		boolean whole = !handle.isEmpty() && head.origin() != AnswerOrigin.FOREIGN;
-		return new Prefilled(head, handle, whole ? AnswerDecoder.news(r.responseHeaders(), true) : head.news());
+		boolean whole = !handle.isEmpty() && head.authenticity() != ResponseAuthenticity.MISMATCHED;
+		return new Prefilled(head, handle, whole ? AnswerDecoder.news(r.responseHeaders(), true) : head.workerStatus());
 	}
 
-	private static String handle(AnswerHead head, byte[] body) {
+	private static String handle(ResponseHead head, byte[] body) {
 		try {
 			JsonNode n = EntryDecoder.JSON.readTree(body);
 			return (head.status() == OK) ? n.path("kv_handle").asText() : "";
@@ -170,11 +170,11 @@
 	private static void tell(Prefilled p, PrefillListener listener) {
 		listener.onNews(p.news());
 		String status = "status " + p.head().status();
-		if (!p.handle().isEmpty() && p.head().origin() != AnswerOrigin.FOREIGN) {
+		if (!p.handle().isEmpty() && p.head().authenticity() != ResponseAuthenticity.MISMATCHED) {
 			listener.onReady(p.handle());
 		}
 		else if (p.head().notRun()) {
-			listener.onRefused(status, p.head().otherWorker());
+			listener.onRefused(status, p.head().otherIncarnation());
 		}
 		else {
 			listener.onFailure(new ExchangeFailure(true, status));
@@ -182,12 +182,12 @@
 	}
 
 	@Override
-	public void release(KvSource source) {
+	public void releaseKvCache(KvSource source) {
 		delete(source.worker(), Names.KV_HANDLE_PATH + source.handle());
 	}
 
 	@Override
-	public void drop(WorkerInfo worker, String hold) {
+	public void cancelReservation(WorkerInfo worker, String hold) {
 		delete(worker, Names.DROP_PATH + hold);
 	}
 
@@ -201,7 +201,7 @@
 	}
 
 	@Override
-	public void hold(WorkerInfo worker, int tokens, long ttlMs, HoldListener listener) {
+	public void reserve(WorkerInfo worker, int tokens, long ttlMs, HoldListener listener) {
 		ObjectNode body = EntryDecoder.JSON.createObjectNode().put("tokens", tokens).put("ttl_ms", ttlMs);
 		this.side.post(worker, Names.HOLD_PATH, body)
 			.responseSingle(
@@ -255,7 +255,7 @@
 		RelayRequest q = call.request();
 		q.headers().forEach((f) -> h.add(f.name(), f.value()));
 		h.set(Names.REQUEST_ID, q.id());
-		h.set(Names.TIME_LEFT, call.timeLeftMs());
+		h.set(Names.TIME_LEFT, call.timeoutMs());
 		h.set(Names.EXPECTED_WORKER, call.worker().id());
 		if (q.body().length > 0 || !q.method().equals("GET")) {
 			h.set(HttpHeaderNames.CONTENT_LENGTH, q.body().length);
@@ -275,8 +275,8 @@
 		if (!stage.isEmpty()) {
 			h.set(Names.STAGE, stage);
 		}
-		if (call.hold() != null) {
-			h.set(Names.HOLD, call.hold());
+		if (call.reservation() != null) {
+			h.set(Names.HOLD, call.reservation());
 		}
 		if (call.kvSource() != null) {
 			h.set(Names.KV_SOURCE, call.kvSource().worker().address() + "/" + call.kvSource().handle());
@@ -302,7 +302,7 @@
 	/**
 	 * A worker's answer to a prefill.
 	 */
-	private record Prefilled(AnswerHead head, String handle, WorkerNews news) {
+	private record Prefilled(ResponseHead head, String handle, WorkerNews news) {
 
 	}
 
--- a/src/main/java/io/shallotspur/platform/Loop.java
+++ b/src/main/java/io/shallotspur/platform/Loop.java
@@ -40,7 +40,7 @@
 	}
 
 	@Override
-	public Runnable after(long delayMs, Runnable task) {
+	public Runnable schedule(long delayMs, Runnable task) {
 		ScheduledFuture<?> f = this.loop.schedule(task, delayMs, TimeUnit.MILLISECONDS);
 		return () -> f.cancel(false);
 	}
--- a/src/main/java/io/shallotspur/platform/PlatformVm.java
+++ b/src/main/java/io/shallotspur/platform/PlatformVm.java
@@ -83,7 +83,7 @@
 		this.gateway = new Gateway(s.gateway(), ports);
 		StoreRegistry registry = new StoreRegistry(s.store(), this.loop);
 		ConfigReader reader = new ConfigReader(registry, this.gateway);
-		this.gateway.configSource(reader);
+		this.gateway.setConfigSource(reader);
 		String incarnation = Long.toHexString(ThreadLocalRandom.current().nextLong());
 		EntryVm self = new EntryVm(Names.VM_PREFIX + s.callers() + "/" + incarnation, s.callers().toString(),
 				s.region(), s.gateway().hall(), s.cores(), false);
@@ -92,10 +92,10 @@
 				() -> ThreadLocalRandom.current().nextDouble(), s.changes());
 		this.follower.setOwnRegistration(self.key(), this.registration::start);
 		this.registration.setNoAnswerListener(this.follower::onCallUnanswered);
-		Leadership duty = new Leadership(registry, this.registration, this.gateway.vms(), self.key(), s.orders().turnMs(),
+		Leadership duty = new Leadership(registry, this.registration, this.gateway.entryVms(), self.key(), s.orders().turnMs(),
 				this.clock);
 		this.follower.setLeadership(duty);
-		this.stages = new StageKeeper(s.gateway().vm(), this.gateway, duty,
+		this.stages = new StageKeeper(s.gateway().vmName(), this.gateway, duty,
 				new HttpStagePort(workers.side(), this.loop), this.loop, this.clock, s.changes().propagationMs());
 		this.figures = new SharedEngineStats(registry, this.gateway, this.loop,
 				() -> ThreadLocalRandom.current().nextDouble());
@@ -105,7 +105,7 @@
 		this.follower.addRestoreListener((ms) -> this.metrics.registry().counter("store.restored").inc());
 		this.metrics.registry().gauge("store.era", () -> registry::era);
 		this.load = new VmLoadSampler(this.loop, this.clock, this.gateway::inProgress, this.registration::setCrowded);
-		this.gateway.vms().own(self);
+		this.gateway.entryVms().registerSelf(self);
 		this.ingress = new CallerIngress(s.callers(), this.loop, this.gateway);
 	}
 
@@ -123,7 +123,7 @@
 	}
 
 	private Flux<DisposableServer> sockets() {
-		ControlServers c = new ControlServers(this.loop, this.gateway.vms(), this.clock, this.settings.locateTtlMs());
+		ControlServers c = new ControlServers(this.loop, this.gateway.entryVms(), this.clock, this.settings.locateTtlMs());
 		return Flux
 			.just(this.ingress.bind(), c.ready(this.settings.ready(), this::ready),
 					c.locate(this.settings.locate(), () -> this.follower.initialized() && !this.leaving),
@@ -136,17 +136,17 @@
 		this.registration.start();
 		this.figures.start();
 		this.load.start();
-		this.gateway.watchClocks();
+		this.gateway.startClockSampling();
 		if (this.settings.orders().fenced()) {
 			this.stages.start();
 		}
-		Logger.info("[run] started vm={} hall={} callers={} metrics={} store={}", this.settings.gateway().vm(),
+		Logger.info("[run] started vm={} hall={} callers={} metrics={} store={}", this.settings.gateway().vmName(),
 				this.settings.gateway().hall(), this.settings.callers(), this.settings.metrics(),
 				this.settings.store());
 	}
 
 	private boolean ready() {
-		return !this.leaving && this.follower.initialized() && this.gateway.table().isPresent();
+		return !this.leaving && this.follower.initialized() && this.gateway.routeTable().isPresent();
 	}
 
 	/**
@@ -187,7 +187,7 @@
 		this.loop.execute(this.stages::stop);
 		this.loop.execute(this.figures::stop);
 		this.loop.execute(this.load::stop);
-		this.loop.execute(this.gateway::unwatchClocks);
+		this.loop.execute(this.gateway::stopClockSampling);
 		this.loop.execute(this.follower::stop);
 		this.servers.forEach((s) -> s.dispose());
 		this.loop.close();
@@ -211,7 +211,7 @@
 
 	private void leave(long late, long end) {
 		this.leaving = true;
-		this.gateway.leave(late, end);
+		this.gateway.drain(late, end);
 		this.stages.stop();
 		this.ingress.closeAfterAnswers();
 		this.registration.deregister().timeout(Duration.ofMillis(GRACE_MARGIN_MS)).onErrorComplete().subscribe();
--- a/src/main/java/io/shallotspur/registry/ChangeApplier.java
+++ b/src/main/java/io/shallotspur/registry/ChangeApplier.java
@@ -131,7 +131,7 @@
 		vms.add(this.ownKey);
 		lost(workers, graces, now);
 		this.gateway.roster().retain(workers, graces.workerUntil());
-		this.gateway.vms().retain(vms, graces.vmUntil());
+		this.gateway.entryVms().retain(vms, graces.vmUntil());
 		Logger.info("[registry] listed point={} workers={} vms={}", news.position(), workers.size(), vms.size());
 		if (again && ownGone) {
 			this.onOwnGone.run();
@@ -178,7 +178,7 @@
 					graces.workerMs(now), graces.newsMs(), graces.failedMs(), known);
 		}
 		else if (c instanceof RegistryChange.VmUpdated e) {
-			this.gateway.vms().seen(e.vm());
+			this.gateway.entryVms().register(e.vm());
 		}
 		else if (c instanceof RegistryChange.VmRemoved e) {
 			vmGone(e, known, graces, now);
@@ -243,7 +243,7 @@
 			this.onOwnGone.run();
 		}
 		else {
-			this.gateway.vms().vanished(e.key(), graces.vmUntil());
+			this.gateway.entryVms().deregister(e.key(), graces.vmUntil());
 		}
 	}
 
--- a/src/main/java/io/shallotspur/registry/ConfigReader.java
+++ b/src/main/java/io/shallotspur/registry/ConfigReader.java
@@ -78,7 +78,7 @@
 	}
 
 	private long version() {
-		return this.gateway.table().map(RouteTable::version).orElse(0L);
+		return this.gateway.routeTable().map(RouteTable::version).orElse(0L);
 	}
 
 	private void read(RouteTable t, long asked) {
@@ -87,7 +87,7 @@
 		boolean newest = t.version() >= version();
 		this.gateway.configure(t);
 		if (newest && (asked >= this.outdatedUntil || t.version() > this.versionThen)) {
-			this.gateway.proved(asked);
+			this.gateway.configConfirmed(asked);
 		}
 		over();
 	}
--- a/src/main/java/io/shallotspur/registry/Leadership.java
+++ b/src/main/java/io/shallotspur/registry/Leadership.java
@@ -7,7 +7,7 @@
 import org.tinylog.Logger;
 import reactor.core.publisher.Mono;
 
-import io.shallotspur.gateway.EntryVms;
+import io.shallotspur.gateway.EntryVmDirectory;
 import io.shallotspur.gateway.WorkerStage;
 
 /**
@@ -41,7 +41,7 @@
 
 	private final VmRegistration registration;
 
-	private final EntryVms vms;
+	private final EntryVmDirectory vms;
 
 	private final String self;
 
@@ -64,7 +64,7 @@
 	 * @param turnMs how long the holders' orders have to be apart, in milliseconds
 	 * @param clock the present time in milliseconds
 	 */
-	public Leadership(Registry registry, VmRegistration registration, EntryVms vms, String self, long turnMs,
+	public Leadership(Registry registry, VmRegistration registration, EntryVmDirectory vms, String self, long turnMs,
 			LongSupplier clock) {
 		this.registry = registry;
 		this.registration = registration;
--- a/src/main/java/io/shallotspur/registry/RegistryWatcher.java
+++ b/src/main/java/io/shallotspur/registry/RegistryWatcher.java
@@ -250,7 +250,7 @@
 		Logger.warn("[registry] store restored era={} known={}", era, this.point);
 		this.absence.recordRestore(this.storeUnavailable, now);
 		this.gateway.roster().waitForVanished(now, this.absence.lapseGraceEndsAt());
-		double spread = SPREAD_MS_A_VM * this.gateway.vms().count(now);
+		double spread = SPREAD_MS_A_VM * this.gateway.entryVms().count(now);
 		this.applier.restored(now);
 		this.onRestored.forEach((r) -> r.accept((long) (spread * this.random.getAsDouble())));
 		readAnew((long) (spread * this.random.getAsDouble()));
@@ -262,7 +262,7 @@
 		this.onOutdated.accept(RESTORE_MS);
 		this.settlesAt = now + RESTORE_MS;
 		this.applier.unsettledUntil(this.settlesAt);
-		this.timer.after(RESTORE_MS, () -> {
+		this.timer.schedule(RESTORE_MS, () -> {
 			if (n == this.restores) {
 				readAnew(0);
 			}
@@ -279,7 +279,7 @@
 	// At most one call is to come; a second chain of calls would double them.
 	private void next(long delayMs) {
 		this.cancelNext.run();
-		this.cancelNext = this.timer.after(delayMs, this::follow);
+		this.cancelNext = this.timer.schedule(delayMs, this::follow);
 	}
 
 	private void run(Mono<RegistryUpdate> news, Consumer<RegistryUpdate> then) {
@@ -338,8 +338,8 @@
 
 	private long pause(long now) {
 		long pause = Math.max(LEAST_PAUSE_MS,
-				Math.min(ChangeDeadlines.MAX_BATCH_MS, PAUSE_MS_A_VM * this.gateway.vms().count(now)));
-		boolean mayWait = this.gateway.vms().standsBy(now) && !this.applier.holdsDuty();
+				Math.min(ChangeDeadlines.MAX_BATCH_MS, PAUSE_MS_A_VM * this.gateway.entryVms().count(now)));
+		boolean mayWait = this.gateway.entryVms().isStandby(now) && !this.applier.holdsDuty();
 		return mayWait ? Math.max(pause, this.standbyPauseMs) : pause;
 	}
 
@@ -380,7 +380,7 @@
 		this.absence.recordFailure(askedAt, now);
 		this.gateway.roster().waitForVanished(now, this.absence.lapseGraceEndsAt());
 		long pause = (long) (this.retryMs * (0.5 + 0.5 * this.random.getAsDouble()));
-		long most = this.gateway.vms().standsBy(now) ? MAX_STANDBY_RETRY_MS : MAX_RETRY_MS;
+		long most = this.gateway.entryVms().isStandby(now) ? MAX_STANDBY_RETRY_MS : MAX_RETRY_MS;
 		this.retryMs = Math.min(most, this.retryMs * 2);
 		next(pause);
 	}
--- a/src/main/java/io/shallotspur/registry/SharedEngineStats.java
+++ b/src/main/java/io/shallotspur/registry/SharedEngineStats.java
@@ -97,7 +97,7 @@
 		RegistryChange.EngineStatsUpdated old = this.known.get(news.upstream());
 		if (old == null || news.position().compareTo(old.position()) > 0) {
 			this.known.put(news.upstream(), news);
-			this.gateway.times(news.upstream()).heard(news.stats());
+			this.gateway.engineTimes(news.upstream()).heard(news.stats());
 		}
 	}
 
@@ -108,14 +108,14 @@
 
 	// VMs that tell in the same moment hinder each other.
 	private void later() {
-		this.timer.after((long) (TICK_MS * (0.5 + this.random.getAsDouble())), this::tick);
+		this.timer.schedule((long) (TICK_MS * (0.5 + this.random.getAsDouble())), this::tick);
 	}
 
 	private void tick() {
 		if (this.stopped) {
 			return;
 		}
-		this.gateway.table()
+		this.gateway.routeTable()
 			.ifPresent((t) -> t.upstreams()
 				.stream()
 				.filter((u) -> u.engine() != null)
@@ -127,7 +127,7 @@
 	private void look(String upstream) {
 		RegistryChange.EngineStatsUpdated k = this.known.get(upstream);
 		EngineFigures all = (k != null) ? k.stats() : null;
-		EngineTimes times = this.gateway.times(upstream);
+		EngineTimes times = this.gateway.engineTimes(upstream);
 		Optional<EngineFigures> part = times.unshared().filter((p) -> shouldPublish(all, p));
 		if (part.isPresent() && this.waiting.add(upstream)) {
 			tell(upstream, times, k, part.get());
@@ -153,7 +153,7 @@
 	}
 
 	private void waitFor(String upstream) {
-		this.timer.after(RETRY_MS, () -> this.waiting.remove(upstream));
+		this.timer.schedule(RETRY_MS, () -> this.waiting.remove(upstream));
 	}
 
 	static boolean shouldPublish(@Nullable EngineFigures all, EngineFigures part) {
--- a/src/main/java/io/shallotspur/registry/VmLoadSampler.java
+++ b/src/main/java/io/shallotspur/registry/VmLoadSampler.java
@@ -7,7 +7,7 @@
 import org.tinylog.Logger;
 
 import io.shallotspur.gateway.GatewayTimer;
-import io.shallotspur.gateway.VmLoad;
+import io.shallotspur.gateway.OverloadDetector;
 
 /**
  * Samples how late the gateway's thread runs what is due, and has the others told when
@@ -26,7 +26,7 @@
 
 	private final Consumer<Boolean> onChange;
 
-	private final VmLoad load = new VmLoad();
+	private final OverloadDetector load = new OverloadDetector();
 
 	private boolean stopped;
 
@@ -48,8 +48,8 @@
 	 * Begins to sample.
 	 */
 	public void start() {
-		long due = this.clock.getAsLong() + VmLoad.SAMPLE_MS;
-		this.timer.after(VmLoad.SAMPLE_MS, () -> sample(due));
+		long due = this.clock.getAsLong() + OverloadDetector.SAMPLE_INTERVAL_MS;
+		this.timer.schedule(OverloadDetector.SAMPLE_INTERVAL_MS, () -> sample(due));
 	}
 
 	/**
@@ -64,11 +64,11 @@
 			return;
 		}
 		long now = this.clock.getAsLong();
-		boolean before = this.load.crowded();
-		this.load.late((this.inProgress.getAsInt() > 0) ? now - due : 0, now);
-		if (this.load.crowded() != before) {
-			Logger.info("[vm] crowded={} in-progress={}", this.load.crowded(), this.inProgress.getAsInt());
-			this.onChange.accept(this.load.crowded());
+		boolean before = this.load.overloaded();
+		this.load.recordDelay((this.inProgress.getAsInt() > 0) ? now - due : 0, now);
+		if (this.load.overloaded() != before) {
+			Logger.info("[vm] crowded={} in-progress={}", this.load.overloaded(), this.inProgress.getAsInt());
+			this.onChange.accept(this.load.overloaded());
 		}
 		start();
 	}
--- a/src/main/java/io/shallotspur/registry/VmRegistration.java
+++ b/src/main/java/io/shallotspur/registry/VmRegistration.java
@@ -100,7 +100,7 @@
 	 * @param crowded whether they do
 	 */
 	public void setCrowded(boolean crowded) {
-		this.vm = this.vm.withCrowded(crowded);
+		this.vm = this.vm.withOverloaded(crowded);
 		long l = activeLease();
 		if (l == 0) {
 			return;
@@ -169,7 +169,7 @@
 
 	private void later(long ms, Runnable task) {
 		this.cancelTimer.run();
-		this.cancelTimer = this.timer.after(ms, task);
+		this.cancelTimer = this.timer.schedule(ms, task);
 	}
 
 	/**
--- a/src/main/java/io/shallotspur/stage/StageKeeper.java
+++ b/src/main/java/io/shallotspur/stage/StageKeeper.java
@@ -97,7 +97,7 @@
 	 * Begins to look after the upstreams.
 	 */
 	public void start() {
-		this.timer.after(TICK_MS, this::tick);
+		this.timer.schedule(TICK_MS, this::tick);
 	}
 
 	/**
@@ -112,8 +112,8 @@
 			return;
 		}
 		long now = this.clock.getAsLong();
-		this.gateway.table().ifPresent((t) -> look(t, now));
-		this.timer.after(TICK_MS, this::tick);
+		this.gateway.routeTable().ifPresent((t) -> look(t, now));
+		this.timer.schedule(TICK_MS, this::tick);
 	}
 
 	private void look(RouteTable t, long now) {
@@ -142,7 +142,7 @@
 		Shares s = this.shares.computeIfAbsent(upstream, (u) -> new Shares());
 		s.counted(prefill.size() + decode.size(), now);
 		if (this.duty.mayAct(now) && s.lasting(now) && !prefill.isEmpty() && !decode.isEmpty()) {
-			this.gateway.times(upstream)
+			this.gateway.engineTimes(upstream)
 				.known()
 				.filter((f) -> f.samples() >= LEAST_SAMPLES)
 				.map((f) -> new Seen(f.samples(), StageLoad.of(f, engine)))
--- a/src/main/java/io/shallotspur/stage/StageSwitch.java
+++ b/src/main/java/io/shallotspur/stage/StageSwitch.java
@@ -90,7 +90,7 @@
 
 	private void announced(boolean ok) {
 		if (ok) {
-			this.timer.after(this.heardByAllMs, this::look);
+			this.timer.schedule(this.heardByAllMs, this::look);
 		}
 		else {
 			fail("duty lost");
@@ -117,7 +117,7 @@
 	}
 
 	private void lookLater() {
-		this.timer.after(POLL_MS, this::look);
+		this.timer.schedule(POLL_MS, this::look);
 	}
 
 	// The count of orders begins anew with a worker's start, so that an order for its
--- a/src/test/java/io/shallotspur/gateway/CustomerKeyTests.java
+++ b/src/test/java/io/shallotspur/gateway/CustomerKeyTests.java
@@ -21,19 +21,19 @@
 
 	private static final Customer BOLT = GatewayFixture.customer("bolt", Quota.UNLIMITED, "key-3");
 
-	private final GatewayFixture f = new GatewayFixture(REVOKED_MS).plainWorkers(2);
+	private final GatewayFixture f = new GatewayFixture(REVOKED_MS).addPlainWorkers(2);
 
 	// Questions to the store that wait for an answer.
 	private final List<Runnable> questions = new ArrayList<>();
 
 	CustomerKeyTests() {
 		this.f.gateway.configure(GatewayFixture.table(1, ACME, BOLT));
-		this.f.gateway.configSource(this.questions::add);
+		this.f.gateway.setConfigSource(this.questions::add);
 		prove();
 	}
 
 	private void prove() {
-		this.f.gateway.proved(this.f.gateway.elapsedMs());
+		this.f.gateway.configConfirmed(this.f.gateway.elapsedMs());
 	}
 
 	private void answerAll() {
@@ -48,35 +48,35 @@
 
 	@Test
 	void tellsTheWorkerWhoseRequestItIs() {
-		this.f.keyed("safe", "key-2");
-		Assertions.assertThat(this.f.workers.last().call.customer()).isEqualTo("acme");
-		this.f.keyed("safe", "key-3");
-		Assertions.assertThat(this.f.workers.last().call.customer()).isEqualTo("bolt");
+		this.f.callWithKey("safe", "key-2");
+		Assertions.assertThat(this.f.workers.lastRun().call.customer()).isEqualTo("acme");
+		this.f.callWithKey("safe", "key-3");
+		Assertions.assertThat(this.f.workers.lastRun().call.customer()).isEqualTo("bolt");
 	}
 
 	@Test
 	void deniesACallerWithoutAKnownKey() {
-		Assertions.assertThat(this.f.keyed("safe", null).caller().status).isEqualTo(401);
-		Assertions.assertThat(this.f.keyed("safe", "guess").caller().status).isEqualTo(401);
+		Assertions.assertThat(this.f.callWithKey("safe", null).caller().status).isEqualTo(401);
+		Assertions.assertThat(this.f.callWithKey("safe", "guess").caller().status).isEqualTo(401);
 		Assertions.assertThat(runs()).isZero();
 		Assertions.assertThat(this.f.gateway.inProgress()).isZero();
 	}
 
 	@Test
 	void asksForNoKeyWhereTheOperatorWantsNone() {
-		this.f.keyed("open", null);
-		Assertions.assertThat(this.f.workers.last().call.customer()).isNull();
-		this.f.keyed("open", "guess");
-		Assertions.assertThat(this.f.workers.last().call.customer()).isNull();
-		this.f.keyed("open", "key-1");
-		Assertions.assertThat(this.f.workers.last().call.customer()).isEqualTo("acme");
+		this.f.callWithKey("open", null);
+		Assertions.assertThat(this.f.workers.lastRun().call.customer()).isNull();
+		this.f.callWithKey("open", "guess");
+		Assertions.assertThat(this.f.workers.lastRun().call.customer()).isNull();
+		this.f.callWithKey("open", "key-1");
+		Assertions.assertThat(this.f.workers.lastRun().call.customer()).isEqualTo("acme");
 	}
 
 	@Test
 	void asksForNoKeyWhereTheOperatorKeepsNoCustomers() {
-		GatewayFixture g = new GatewayFixture(REVOKED_MS).configured().plainWorkers(1);
-		g.keyed("safe", "any");
-		Assertions.assertThat(g.workers.last().call.customer()).isNull();
+		GatewayFixture g = new GatewayFixture(REVOKED_MS).configured().addPlainWorkers(1);
+		g.callWithKey("safe", "any");
+		Assertions.assertThat(g.workers.lastRun().call.customer()).isNull();
 	}
 
 	// A customer gets a new key, and the first caller who uses it reaches a VM that has
@@ -84,13 +84,13 @@
 	@Test
 	void asksForANewerConfigurationBeforeItDeniesAKey() {
 		this.f.timer.advance(2_000);
-		Call c = this.f.keyed("safe", "key-new");
-		Assertions.assertThat(c.caller().ended).isFalse();
+		Call c = this.f.callWithKey("safe", "key-new");
+		Assertions.assertThat(c.caller().completed).isFalse();
 		this.f.gateway
 			.configure(GatewayFixture.table(2, ACME, GatewayFixture.customer("bolt", Quota.UNLIMITED, "key-new")));
 		prove();
 		answerAll();
-		Assertions.assertThat(this.f.workers.last().call.customer()).isEqualTo("bolt");
+		Assertions.assertThat(this.f.workers.lastRun().call.customer()).isEqualTo("bolt");
 	}
 
 	// The VM is cut off from the store, and meanwhile a stolen key is revoked. Its thief
@@ -98,7 +98,7 @@
 	@Test
 	void runsNothingWithAKeyThatMayHaveBeenRevokedTooLongAgo() {
 		this.f.timer.advance(REVOKED_MS);
-		Call c = this.f.keyed("safe", "key-1");
+		Call c = this.f.callWithKey("safe", "key-1");
 		answerAll();
 		Assertions.assertThat(c.caller().status).isEqualTo(503);
 		Assertions.assertThat(c.caller().refusal.code()).isEqualTo(RefusalReason.KEY_UNPROVEN);
@@ -108,7 +108,7 @@
 	@Test
 	void runsItOnceTheStoreHasAnswered() {
 		this.f.timer.advance(REVOKED_MS);
-		this.f.keyed("safe", "key-1");
+		this.f.callWithKey("safe", "key-1");
 		Assertions.assertThat(runs()).isZero();
 		prove();
 		answerAll();
@@ -121,11 +121,11 @@
 	@Test
 	void theTimeThatAProofTakesIsTheCallers() {
 		this.f.timer.advance(REVOKED_MS);
-		this.f.keyed("safe", "key-1");
+		this.f.callWithKey("safe", "key-1");
 		this.f.timer.advance(300);
 		prove();
 		answerAll();
-		Assertions.assertThat(this.f.workers.last().call.timeLeftMs()).isEqualTo(500);
+		Assertions.assertThat(this.f.workers.lastRun().call.timeoutMs()).isEqualTo(500);
 	}
 
 	// A caller waits for its permission at a store that is silent. Its own time passes,
@@ -133,20 +133,20 @@
 	@Test
 	void tellsACallerInTimeThatTheStoreIsSilent() {
 		this.f.timer.advance(REVOKED_MS);
-		Call c = this.f.keyed("safe", "key-1");
+		Call c = this.f.callWithKey("safe", "key-1");
 		this.f.timer.advance(500);
 		Assertions.assertThat(c.caller().status).isEqualTo(503);
 		prove();
 		answerAll();
-		Assertions.assertThat(c.caller().answers).isEqualTo(1);
+		Assertions.assertThat(c.caller().responseCount).isEqualTo(1);
 		Assertions.assertThat(runs()).isZero();
 	}
 
 	@Test
 	void aCallerWhoLeavesWhileTheStoreIsAskedIsForgotten() {
 		this.f.timer.advance(REVOKED_MS);
-		Call c = this.f.keyed("safe", "key-1");
-		c.gone().run();
+		Call c = this.f.callWithKey("safe", "key-1");
+		c.disconnect().run();
 		prove();
 		answerAll();
 		Assertions.assertThat(runs()).isZero();
@@ -157,8 +157,8 @@
 	// by that clock the configuration was proved a moment ago.
 	@Test
 	void aSuspendedMachineNoticesThatItsProofIsOld() {
-		this.f.wallAheadMs += 6_000;
-		this.f.keyed("safe", "key-1");
+		this.f.wallClockOffsetMs += 6_000;
+		this.f.callWithKey("safe", "key-1");
 		Assertions.assertThat(runs()).isZero();
 		Assertions.assertThat(this.questions).hasSize(1);
 	}
@@ -166,9 +166,9 @@
 	// Someone sets the clock back. A proof whose age were counted by it would never end.
 	@Test
 	void aClockThatIsSetBackMakesNoProofYounger() {
-		this.f.wallAheadMs -= 60_000;
+		this.f.wallClockOffsetMs -= 60_000;
 		this.f.timer.advance(REVOKED_MS);
-		this.f.keyed("safe", "key-1");
+		this.f.callWithKey("safe", "key-1");
 		Assertions.assertThat(runs()).isZero();
 	}
 
@@ -177,10 +177,10 @@
 	// day the proof is younger than it was.
 	@Test
 	void aClockThatIsSetBackHidesNoSuspension() {
-		this.f.wallAheadMs -= 60_000;
+		this.f.wallClockOffsetMs -= 60_000;
 		this.f.gateway.elapsedMs();
-		this.f.wallAheadMs += 6_000;
-		this.f.keyed("safe", "key-1");
+		this.f.wallClockOffsetMs += 6_000;
+		this.f.callWithKey("safe", "key-1");
 		Assertions.assertThat(runs()).isZero();
 		Assertions.assertThat(this.questions).hasSize(1);
 	}
@@ -192,9 +192,9 @@
 		this.f.timer.advance(1_000);
 		long asked = this.f.gateway.elapsedMs();
 		this.f.timer.advance(4_000);
-		this.f.gateway.proved(asked);
+		this.f.gateway.configConfirmed(asked);
 		this.f.timer.advance(1_000);
-		this.f.keyed("safe", "key-1");
+		this.f.callWithKey("safe", "key-1");
 		Assertions.assertThat(runs()).isZero();
 	}
 
@@ -203,10 +203,10 @@
 	@Test
 	void renewsItsProofWhileCallersCome() {
 		this.f.timer.advance(1_000);
-		this.f.keyed("safe", "key-1");
+		this.f.callWithKey("safe", "key-1");
 		Assertions.assertThat(this.questions).isEmpty();
 		this.f.timer.advance(500);
-		this.f.keyed("safe", "key-1");
+		this.f.callWithKey("safe", "key-1");
 		Assertions.assertThat(this.questions).hasSize(1);
 		Assertions.assertThat(runs()).isEqualTo(2);
 	}
@@ -214,8 +214,8 @@
 	@Test
 	void aKeyThatIsGoneIsDenied() {
 		this.f.gateway.configure(GatewayFixture.table(2, GatewayFixture.customer("acme", Quota.UNLIMITED, "key-2")));
-		Assertions.assertThat(this.f.keyed("safe", "key-1").caller().status).isEqualTo(401);
-		this.f.keyed("safe", "key-2");
+		Assertions.assertThat(this.f.callWithKey("safe", "key-1").caller().status).isEqualTo(401);
+		this.f.callWithKey("safe", "key-2");
 		Assertions.assertThat(runs()).isEqualTo(1);
 	}
 
--- a/src/test/java/io/shallotspur/gateway/FakeCaller.java
+++ b/src/test/java/io/shallotspur/gateway/FakeCaller.java
@@ -7,9 +7,9 @@
 /**
  * A caller that notes what it is told.
  */
-final class FakeCaller implements CallerAnswer {
+final class FakeCaller implements CallerResponse {
 
-	int answers;
+	int responseCount;
 
 	int status;
 
@@ -17,29 +17,29 @@
 
 	String body = "";
 
-	boolean ended;
+	boolean completed;
 
-	boolean brokenOff;
+	boolean aborted;
 
 	@Override
-	public void whole(int s, List<HeaderField> headers, byte[] b) {
-		this.answers++;
+	public void send(int s, List<HeaderField> headers, byte[] b) {
+		this.responseCount++;
 		this.status = s;
 		this.body = new String(b);
-		this.ended = true;
+		this.completed = true;
 	}
 
 	@Override
 	public void refuse(RelayRefusal r) {
-		this.answers++;
+		this.responseCount++;
 		this.status = r.status();
 		this.refusal = r;
-		this.ended = true;
+		this.completed = true;
 	}
 
 	@Override
-	public void begin(int s, List<HeaderField> headers) {
-		this.answers++;
+	public void start(int s, List<HeaderField> headers) {
+		this.responseCount++;
 		this.status = s;
 	}
 
@@ -49,13 +49,13 @@
 	}
 
 	@Override
-	public void end() {
-		this.ended = true;
+	public void complete() {
+		this.completed = true;
 	}
 
 	@Override
-	public void breakOff() {
-		this.brokenOff = true;
+	public void abort() {
+		this.aborted = true;
 	}
 
 }
--- a/src/test/java/io/shallotspur/gateway/FakeWorkers.java
+++ b/src/test/java/io/shallotspur/gateway/FakeWorkers.java
@@ -12,11 +12,11 @@
 
 	final List<Prefill> prefills = new ArrayList<>();
 
-	final List<Hold> holds = new ArrayList<>();
+	final List<Reservation> reservations = new ArrayList<>();
 
-	final List<String> dropped = new ArrayList<>();
+	final List<String> cancelledReservations = new ArrayList<>();
 
-	final List<String> released = new ArrayList<>();
+	final List<String> releasedHandles = new ArrayList<>();
 
 	@Override
 	public Exchange run(WorkerCall call, ExchangeListener listener) {
@@ -33,21 +33,21 @@
 	}
 
 	@Override
-	public void release(KvSource source) {
-		this.released.add(source.handle());
+	public void releaseKvCache(KvSource source) {
+		this.releasedHandles.add(source.handle());
 	}
 
 	@Override
-	public void hold(WorkerInfo worker, int tokens, long ttlMs, HoldListener listener) {
-		this.holds.add(new Hold(worker, tokens, listener));
+	public void reserve(WorkerInfo worker, int tokens, long ttlMs, HoldListener listener) {
+		this.reservations.add(new Reservation(worker, tokens, listener));
 	}
 
 	@Override
-	public void drop(WorkerInfo worker, String hold) {
-		this.dropped.add(hold);
+	public void cancelReservation(WorkerInfo worker, String hold) {
+		this.cancelledReservations.add(hold);
 	}
 
-	Run last() {
+	Run lastRun() {
 		return this.runs.get(this.runs.size() - 1);
 	}
 
@@ -64,40 +64,40 @@
 			this.listener = listener;
 		}
 
-		void answer(int status, String body) {
-			head(status);
+		void respond(int status, String body) {
+			respondHead(status);
 			this.listener.onBytes(body.getBytes());
 			this.listener.onEnd();
 		}
 
-		void head(int status) {
-			this.listener.onHead(new AnswerHead(status, List.of(), AnswerOrigin.SIGNED, false, false, WorkerNews.NONE));
+		void respondHead(int status) {
+			this.listener.onHead(new ResponseHead(status, List.of(), ResponseAuthenticity.SIGNED, false, false, WorkerNews.NONE));
 		}
 
-		void answerNaming(WorkerLimit limit) {
+		void respondWithLimit(WorkerLimit limit) {
 			this.listener
-				.onHead(new AnswerHead(200, List.of(), AnswerOrigin.SIGNED, false, false, new WorkerNews(null, limit)));
+				.onHead(new ResponseHead(200, List.of(), ResponseAuthenticity.SIGNED, false, false, new WorkerNews(null, limit)));
 			this.listener.onBytes("fine".getBytes());
 			this.listener.onEnd();
 		}
 
-		void notRun() {
-			this.listener.onHead(new AnswerHead(503, List.of(), AnswerOrigin.UNSIGNED, true, false, WorkerNews.NONE));
+		void rejectNotRun() {
+			this.listener.onHead(new ResponseHead(503, List.of(), ResponseAuthenticity.UNSIGNED, true, false, WorkerNews.NONE));
 		}
 
-		void replaced() {
-			this.listener.onHead(new AnswerHead(421, List.of(), AnswerOrigin.UNSIGNED, true, true, WorkerNews.NONE));
+		void rejectReplaced() {
+			this.listener.onHead(new ResponseHead(421, List.of(), ResponseAuthenticity.UNSIGNED, true, true, WorkerNews.NONE));
 		}
 
-		void lost() {
+		void resetConnection() {
 			this.listener.onFailure(new ExchangeFailure(true, "reset"));
 		}
 
-		void notSent() {
+		void refuseConnection() {
 			this.listener.onFailure(new ExchangeFailure(false, "refused"));
 		}
 
-		void events(String text) {
+		void sendEvents(String text) {
 			this.listener.onBytes(text.getBytes());
 		}
 
@@ -118,7 +118,7 @@
 
 	}
 
-	record Hold(WorkerInfo worker, int tokens, HoldListener listener) {
+	record Reservation(WorkerInfo worker, int tokens, HoldListener listener) {
 
 	}
 
--- a/src/test/java/io/shallotspur/gateway/GatewayFixture.java
+++ b/src/test/java/io/shallotspur/gateway/GatewayFixture.java
@@ -38,11 +38,11 @@
 	final MetricRegistry metrics = new MetricRegistry();
 
 	// By how much the time of day has moved against the steady clock, ms.
-	long wallAheadMs;
+	long wallClockOffsetMs;
 
 	final Gateway gateway;
 
-	private int ids;
+	private int nextId;
 
 	GatewayFixture() {
 		this(0);
@@ -55,7 +55,7 @@
 	GatewayFixture(long revokedKeyMs, DoubleSupplier random) {
 		this.gateway = new Gateway(
 				new GatewaySettings("vm-1", "hall-a", 0.2, 50, 10_000).withRevokedKeyMs(revokedKeyMs),
-				new GatewayPorts(this.workers, this.timer, this.timer::now, () -> this.timer.now() + this.wallAheadMs,
+				new GatewayPorts(this.workers, this.timer, this.timer::now, () -> this.timer.now() + this.wallClockOffsetMs,
 						random, new DecisionLog(0), new RelayMetrics(this.metrics)));
 	}
 
@@ -79,26 +79,26 @@
 				TARGET_MS, 300, 1, attempts, resumable, kind == RouteKind.STREAM, name.equals("open"));
 	}
 
-	GatewayFixture plainWorkers(int n) {
+	GatewayFixture addPlainWorkers(int n) {
 		for (int i = 1; i <= n; i++) {
-			worker("p" + i, "plain", WorkerStage.PLAIN);
+			addWorker("p" + i, "plain", WorkerStage.PLAIN);
 		}
 		return this;
 	}
 
-	WorkerInfo worker(String id, String upstream, WorkerStage stage) {
-		WorkerInfo w = new WorkerInfo(id, upstream, "10.0.0." + (++this.ids), 80, "hall-a", 6, stage, false, 0, 1);
+	WorkerInfo addWorker(String id, String upstream, WorkerStage stage) {
+		WorkerInfo w = new WorkerInfo(id, upstream, "10.0.0." + (++this.nextId), 80, "hall-a", 6, stage, false, 0, 1);
 		this.gateway.roster().seen(w, this.timer.now());
 		return w;
 	}
 
-	void startsAgain(WorkerInfo w) {
+	void restart(WorkerInfo w) {
 		this.gateway.roster()
 			.seen(new WorkerInfo(w.id(), w.upstream(), w.host(), w.port(), w.hall(), w.slots(), w.stage(), false, 0,
 					w.startedAt() + 1), this.timer.now());
 	}
 
-	void leaves(WorkerInfo w) {
+	void drain(WorkerInfo w) {
 		this.gateway.roster()
 			.seen(new WorkerInfo(w.id(), w.upstream(), w.host(), w.port(), w.hall(), w.slots(), w.stage(), true, 0,
 					w.startedAt()), this.timer.now());
@@ -108,11 +108,11 @@
 		return call(route, 1_500, null);
 	}
 
-	Call prompt(String route, int tokens) {
+	Call callWithPrompt(String route, int tokens) {
 		return call(route, 14_000, new PromptShape(tokens, 1_190, 400));
 	}
 
-	Call resumed(String route, int tokens, String lastEventId) {
+	Call callResuming(String route, int tokens, String lastEventId) {
 		return call(route, 14_000, new PromptShape(tokens, 1_190, 400), lastEventId);
 	}
 
@@ -124,11 +124,11 @@
 		return new Customer(name, Arrays.stream(keys).map(BearerKey::hash).collect(Collectors.toSet()), null, quota);
 	}
 
-	Call keyed(String route, @Nullable String key) {
+	Call callWithKey(String route, @Nullable String key) {
 		return call(route, 1_500, null, null, (key != null) ? BearerKey.hash(key) : null);
 	}
 
-	Call keyedPrompt(String route, String key, int tokens) {
+	Call callWithKeyAndPrompt(String route, String key, int tokens) {
 		return call(route, 14_000, new PromptShape(tokens, 1_000, 400), null, BearerKey.hash(key));
 	}
 
@@ -138,13 +138,13 @@
 
 	private Call call(String route, long waitMs, @Nullable PromptShape prompt, @Nullable String lastEventId,
 			@Nullable String keyHash) {
-		RelayRequest r = new RelayRequest("r" + (++this.ids), "POST", "/" + route + "/x", "shop.example", List.of(),
+		RelayRequest r = new RelayRequest("r" + (++this.nextId), "POST", "/" + route + "/x", "shop.example", List.of(),
 				new byte[0], waitMs, prompt, lastEventId, keyHash);
 		FakeCaller c = new FakeCaller();
 		return new Call(c, this.gateway.handle(r, c));
 	}
 
-	record Call(FakeCaller caller, Runnable gone) {
+	record Call(FakeCaller caller, Runnable disconnect) {
 
 	}
 
--- a/src/test/java/io/shallotspur/gateway/HoldQueueTests.java
+++ b/src/test/java/io/shallotspur/gateway/HoldQueueTests.java
@@ -13,16 +13,16 @@
 
 	private final GatewayFixture f = new GatewayFixture().configured();
 
-	private FakeWorkers.Hold hold(int i) {
-		return this.f.workers.holds.get(i);
+	private FakeWorkers.Reservation hold(int i) {
+		return this.f.workers.reservations.get(i);
 	}
 
 	private Call waitInVain() {
-		Call c = this.f.prompt("once", 100);
-		for (int i = 0; i < 100 && c.caller().answers == 0; i++) {
-			int n = this.f.workers.holds.size();
+		Call c = this.f.callWithPrompt("once", 100);
+		for (int i = 0; i < 100 && c.caller().responseCount == 0; i++) {
+			int n = this.f.workers.reservations.size();
 			hold(n - 1).listener().onFull();
-			while (this.f.workers.holds.size() == n && c.caller().answers == 0) {
+			while (this.f.workers.reservations.size() == n && c.caller().responseCount == 0) {
 				this.f.timer.advance(50);
 			}
 		}
@@ -31,9 +31,9 @@
 
 	@Test
 	void asksTheNextWorkerWhenOneIsFull() {
-		this.f.worker("d1", "llm", WorkerStage.DECODE);
-		this.f.worker("d2", "llm", WorkerStage.DECODE);
-		this.f.prompt("once", 100);
+		this.f.addWorker("d1", "llm", WorkerStage.DECODE);
+		this.f.addWorker("d2", "llm", WorkerStage.DECODE);
+		this.f.callWithPrompt("once", 100);
 		hold(0).listener().onFull();
 		Assertions.assertThat(hold(1).worker().id()).isNotEqualTo(hold(0).worker().id());
 	}
@@ -42,32 +42,32 @@
 	// the place that this VM's own request frees is taken at once instead.
 	@Test
 	void takesThePlaceThatAnEndingRequestFrees() {
-		this.f.worker("d1", "llm", WorkerStage.DECODE);
-		this.f.prompt("once", 100);
+		this.f.addWorker("d1", "llm", WorkerStage.DECODE);
+		this.f.callWithPrompt("once", 100);
 		hold(0).listener().onHeld("h1");
-		Call second = this.f.prompt("once", 100);
+		Call second = this.f.callWithPrompt("once", 100);
 		hold(1).listener().onFull();
-		Assertions.assertThat(this.f.workers.holds).hasSize(2);
-		this.f.workers.last().head(200);
-		this.f.workers.last().events(GatewayFixture.EVENTS);
-		this.f.workers.last().listener.onEnd();
-		Assertions.assertThat(this.f.workers.holds).hasSize(3);
+		Assertions.assertThat(this.f.workers.reservations).hasSize(2);
+		this.f.workers.lastRun().respondHead(200);
+		this.f.workers.lastRun().sendEvents(GatewayFixture.EVENTS);
+		this.f.workers.lastRun().listener.onEnd();
+		Assertions.assertThat(this.f.workers.reservations).hasSize(3);
 		hold(2).listener().onHeld("h2");
 		Assertions.assertThat(this.f.workers.runs).hasSize(2);
-		Assertions.assertThat(second.caller().answers).isZero();
+		Assertions.assertThat(second.caller().responseCount).isZero();
 	}
 
 	// Many VMs before few workers: each must leave a full worker alone for a while, lest
 	// all of them spend their time asking.
 	@Test
 	void leavesAFullWorkerAloneForAWhile() {
-		this.f.worker("d1", "llm", WorkerStage.DECODE);
-		this.f.prompt("once", 100);
+		this.f.addWorker("d1", "llm", WorkerStage.DECODE);
+		this.f.callWithPrompt("once", 100);
 		hold(0).listener().onFull();
 		this.f.timer.advance(100);
-		Assertions.assertThat(this.f.workers.holds).hasSize(1);
+		Assertions.assertThat(this.f.workers.reservations).hasSize(1);
 		this.f.timer.advance(200);
-		Assertions.assertThat(this.f.workers.holds).hasSize(2);
+		Assertions.assertThat(this.f.workers.reservations).hasSize(2);
 	}
 
 	// A burst on a large fleet: every VM has a request that waits, and all workers are
@@ -76,12 +76,12 @@
 	@Test
 	void asksAFullFleetAtABoundedRate() {
 		for (int i = 0; i < 40; i++) {
-			this.f.worker("d" + i, "llm", WorkerStage.DECODE);
+			this.f.addWorker("d" + i, "llm", WorkerStage.DECODE);
 		}
-		this.f.prompt("once", 100);
+		this.f.callWithPrompt("once", 100);
 		int answered = 0;
 		for (int ms = 0; ms < 1_000; ms++) {
-			while (answered < this.f.workers.holds.size()) {
+			while (answered < this.f.workers.reservations.size()) {
 				hold(answered++).listener().onFull();
 			}
 			this.f.timer.advance(1);
@@ -94,43 +94,43 @@
 	// too late for them, and all answers of a burst would be late by a little.
 	@Test
 	void countsThePrefillInTheTimeThatAPlaceTakes() {
-		this.f.worker("d1", "llm", WorkerStage.DECODE);
-		this.f.worker("f1", "llm", WorkerStage.PREFILL);
+		this.f.addWorker("d1", "llm", WorkerStage.DECODE);
+		this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
 		for (int i = 0; i < 100; i++) {
-			this.f.prompt("once", 3_000);
+			this.f.callWithPrompt("once", 3_000);
 			hold(i).listener().onHeld("h" + i);
 			this.f.timer.advance(250);
 			this.f.workers.prefills.get(i).listener.onReady("kv" + i);
 			this.f.timer.advance(30);
-			this.f.workers.last().head(200);
-			this.f.workers.last().events(GatewayFixture.EVENTS);
-			this.f.workers.last().listener.onEnd();
+			this.f.workers.lastRun().respondHead(200);
+			this.f.workers.lastRun().sendEvents(GatewayFixture.EVENTS);
+			this.f.workers.lastRun().listener.onEnd();
 		}
-		Assertions.assertThat(this.f.gateway.times("llm").leadMs()).isBetween(270L, 320L);
+		Assertions.assertThat(this.f.gateway.engineTimes("llm").leadMs()).isBetween(270L, 320L);
 	}
 
 	// A place that becomes free is asked for at once all the same.
 	@Test
 	void asksAtOnceWhereItsOwnRequestHasEnded() {
 		for (int i = 0; i < 12; i++) {
-			this.f.worker("d" + i, "llm", WorkerStage.DECODE);
+			this.f.addWorker("d" + i, "llm", WorkerStage.DECODE);
 		}
-		this.f.prompt("once", 100);
+		this.f.callWithPrompt("once", 100);
 		hold(0).listener().onHeld("h1");
-		this.f.prompt("once", 100);
-		for (int i = 1; i < this.f.workers.holds.size(); i++) {
+		this.f.callWithPrompt("once", 100);
+		for (int i = 1; i < this.f.workers.reservations.size(); i++) {
 			hold(i).listener().onFull();
 		}
-		int n = this.f.workers.holds.size();
-		this.f.workers.last().head(200);
-		this.f.workers.last().events(GatewayFixture.EVENTS);
-		this.f.workers.last().listener.onEnd();
-		Assertions.assertThat(this.f.workers.holds.size()).isEqualTo(n + 1);
+		int n = this.f.workers.reservations.size();
+		this.f.workers.lastRun().respondHead(200);
+		this.f.workers.lastRun().sendEvents(GatewayFixture.EVENTS);
+		this.f.workers.lastRun().listener.onEnd();
+		Assertions.assertThat(this.f.workers.reservations.size()).isEqualTo(n + 1);
 	}
 
 	@Test
 	void refusesAsNotRunBeforeTheCallerWouldLeave() {
-		this.f.worker("d1", "llm", WorkerStage.DECODE);
+		this.f.addWorker("d1", "llm", WorkerStage.DECODE);
 		Call c = waitInVain();
 		Assertions.assertThat(c.caller().status).isEqualTo(503);
 		Assertions.assertThat(c.caller().refusal.retryAfterMs()).isPositive();
@@ -141,20 +141,20 @@
 	// that can still be answered in time goes first, else all of them are late.
 	@Test
 	void thoseInTimeGoBeforeTheLate() {
-		this.f.worker("d1", "llm", WorkerStage.DECODE);
-		this.f.prompt("once", 1_111);
+		this.f.addWorker("d1", "llm", WorkerStage.DECODE);
+		this.f.callWithPrompt("once", 1_111);
 		hold(0).listener().onFull();
 		this.f.timer.advance(240);
 		hold(1).listener().onFull();
-		while (this.f.workers.holds.size() < 6) {
-			int n = this.f.workers.holds.size();
+		while (this.f.workers.reservations.size() < 6) {
+			int n = this.f.workers.reservations.size();
 			this.f.timer.advance(250);
-			if (this.f.workers.holds.size() > n) {
+			if (this.f.workers.reservations.size() > n) {
 				hold(n).listener().onFull();
 			}
 		}
-		this.f.prompt("once", 2_222);
-		int n = this.f.workers.holds.size();
+		this.f.callWithPrompt("once", 2_222);
+		int n = this.f.workers.reservations.size();
 		this.f.timer.advance(250);
 		Assertions.assertThat(hold(n).tokens()).isGreaterThan(2_222);
 	}
@@ -163,8 +163,8 @@
 	// its first try; taken for new, it would pass those who can still be in time.
 	@Test
 	void aCallerWhoCameBackIsKnownByTheTimeItHasLeft() {
-		this.f.worker("d1", "llm", WorkerStage.DECODE);
-		this.f.prompt("once", 3_333);
+		this.f.addWorker("d1", "llm", WorkerStage.DECODE);
+		this.f.callWithPrompt("once", 3_333);
 		hold(0).listener().onFull();
 		PromptShape p = new PromptShape(1_111, 1_190, 400);
 		this.f.call("once", 10_000, p);
@@ -175,7 +175,7 @@
 	private void refuseFor(long ms, int from) {
 		int unanswered = from;
 		for (int i = 0; i < ms; i++) {
-			while (unanswered < this.f.workers.holds.size()) {
+			while (unanswered < this.f.workers.reservations.size()) {
 				hold(unanswered++).listener().onFull();
 			}
 			this.f.timer.advance(1);
@@ -199,11 +199,11 @@
 
 	// One caller has been refused for a while when another comes, with twice its prompt.
 	private int askedFirstAfterRefusalsFor(long ms) {
-		this.f.worker("d1", "llm", WorkerStage.DECODE);
-		this.f.prompt("once", 3_000);
+		this.f.addWorker("d1", "llm", WorkerStage.DECODE);
+		this.f.callWithPrompt("once", 3_000);
 		refuseFor(ms, 0);
-		int n = this.f.workers.holds.size();
-		this.f.prompt("once", 6_000);
+		int n = this.f.workers.reservations.size();
+		this.f.callWithPrompt("once", 6_000);
 		this.f.timer.advance(250);
 		return hold(n).tokens();
 	}
@@ -213,8 +213,8 @@
 	// late too.
 	@Test
 	void theNewestGoesFirstAmongTheLate() {
-		this.f.worker("d1", "llm", WorkerStage.DECODE);
-		this.f.prompt("once", 100);
+		this.f.addWorker("d1", "llm", WorkerStage.DECODE);
+		this.f.callWithPrompt("once", 100);
 		hold(0).listener().onFull();
 		this.f.call("once", 9_000, new PromptShape(3_000, 1_190, 400));
 		this.f.call("once", 10_000, new PromptShape(6_000, 1_190, 400));
@@ -227,13 +227,13 @@
 	// Left alone by all, it would stand half empty while callers wait.
 	@Test
 	void aWorkerThatRefusedALongPromptIsAskedForAShortOne() {
-		this.f.worker("d1", "llm", WorkerStage.DECODE);
-		this.f.prompt("once", 6_000);
+		this.f.addWorker("d1", "llm", WorkerStage.DECODE);
+		this.f.callWithPrompt("once", 6_000);
 		hold(0).listener().onFull();
-		this.f.prompt("once", 5_800);
-		Assertions.assertThat(this.f.workers.holds).hasSize(1);
-		this.f.prompt("once", 1_000);
-		Assertions.assertThat(this.f.workers.holds).hasSize(2);
+		this.f.callWithPrompt("once", 5_800);
+		Assertions.assertThat(this.f.workers.reservations).hasSize(1);
+		this.f.callWithPrompt("once", 1_000);
+		Assertions.assertThat(this.f.workers.reservations).hasSize(2);
 		Assertions.assertThat(hold(1).tokens()).isLessThan(2_000);
 	}
 
@@ -242,12 +242,12 @@
 	// too.
 	@Test
 	void theLateGetNothingWhileOthersCanStillBeInTime() {
-		this.f.worker("d1", "llm", WorkerStage.DECODE);
-		this.f.prompt("once", 6_000);
+		this.f.addWorker("d1", "llm", WorkerStage.DECODE);
+		this.f.callWithPrompt("once", 6_000);
 		hold(0).listener().onFull();
 		this.f.call("once", 10_000, new PromptShape(500, 1_190, 400));
 		refuseFor(500, 1);
-		Assertions.assertThat(this.f.workers.holds).allMatch((h) -> h.tokens() > 6_000);
+		Assertions.assertThat(this.f.workers.reservations).allMatch((h) -> h.tokens() > 6_000);
 	}
 
 	// Two VMs serve all callers of a fleet, and in a burst more wait than the queue
@@ -255,25 +255,25 @@
 	// who are late in any case.
 	@Test
 	void aFullQueueTurnsAwayWhoWouldWaitLongestAndNotWhoComes() {
-		this.f.worker("d1", "llm", WorkerStage.DECODE);
-		Call first = this.f.prompt("once", 3_000);
+		this.f.addWorker("d1", "llm", WorkerStage.DECODE);
+		Call first = this.f.callWithPrompt("once", 3_000);
 		hold(0).listener().onFull();
 		Call late = this.f.call("once", 9_000, new PromptShape(3_000, 1_190, 400));
 		Call[] more = new Call[63];
 		for (int i = 0; i < more.length; i++) {
-			more[i] = this.f.prompt("once", 3_000);
+			more[i] = this.f.callWithPrompt("once", 3_000);
 		}
 		Assertions.assertThat(late.caller().status).isEqualTo(503);
-		Assertions.assertThat(first.caller().answers).isZero();
-		Assertions.assertThat(more).allMatch((c) -> c.caller().answers == 0);
+		Assertions.assertThat(first.caller().responseCount).isZero();
+		Assertions.assertThat(more).allMatch((c) -> c.caller().responseCount == 0);
 	}
 
 	// A burst lasts longer than callers wait. Kept until they are about to leave, they
 	// would come back so late that the next try is their last one, and it may be in vain.
 	@Test
 	void turnsALateCallerAwayWellBeforeItWouldLeave() {
-		this.f.worker("d1", "llm", WorkerStage.DECODE);
-		Call c = this.f.prompt("once", 3_000);
+		this.f.addWorker("d1", "llm", WorkerStage.DECODE);
+		Call c = this.f.callWithPrompt("once", 3_000);
 		refuseFor(2 * GatewayFixture.TARGET_MS + 10, 0);
 		Assertions.assertThat(c.caller().status).isEqualTo(503);
 		Assertions.assertThat(c.caller().refusal.retryAfterMs()).isGreaterThan(2_000);
@@ -281,7 +281,7 @@
 
 	@Test
 	void refusesAtOnceWithoutAnyDecodeWorker() {
-		Assertions.assertThat(this.f.prompt("once", 100).caller().status).isEqualTo(503);
+		Assertions.assertThat(this.f.callWithPrompt("once", 100).caller().status).isEqualTo(503);
 	}
 
 	// A burst outlasts what callers wait for a first event. One who is refused then and
@@ -290,7 +290,7 @@
 	void sendsALateCallerBackAfterTheBurst() {
 		Assertions.assertThat(RetryAdvice.afterLateMs(9_000, 2_000, 0)).isEqualTo(3_000);
 		Assertions.assertThat(RetryAdvice.afterLateMs(9_000, 2_000, 1)).isEqualTo(1_800);
-		this.f.worker("d1", "llm", WorkerStage.DECODE);
+		this.f.addWorker("d1", "llm", WorkerStage.DECODE);
 		Call c = waitInVain();
 		Assertions.assertThat(c.caller().status).isEqualTo(503);
 		Assertions.assertThat(c.caller().refusal.retryAfterMs()).isBetween(2_000L, 3_700L);
@@ -300,12 +300,12 @@
 	// answer takes. Placed, it holds memory for seconds and is cut off in the middle.
 	@Test
 	void refusesAtOnceWhatCannotEndInTime() {
-		this.f.worker("d1", "llm", WorkerStage.DECODE);
+		this.f.addWorker("d1", "llm", WorkerStage.DECODE);
 		PromptShape p = new PromptShape(3_000, 1_190, 1_190);
 		answerGoesOn(70);
-		Assertions.assertThat(this.f.call("once", 14_000, p).caller().answers).isZero();
+		Assertions.assertThat(this.f.call("once", 14_000, p).caller().responseCount).isZero();
 		Assertions.assertThat(this.f.call("once", 8_000, p).caller().status).isEqualTo(503);
-		Assertions.assertThat(this.f.workers.holds).hasSize(2);
+		Assertions.assertThat(this.f.workers.reservations).hasSize(2);
 	}
 
 	// A VM has just started, and answers are thousands of tokens. As long as none has
@@ -313,28 +313,28 @@
 	// would be turned away beside idle workers.
 	@Test
 	void refusesNobodyBeforeAnyAnswerHasShownItsPace() {
-		this.f.worker("d1", "llm", WorkerStage.DECODE);
+		this.f.addWorker("d1", "llm", WorkerStage.DECODE);
 		PromptShape p = new PromptShape(5_000, 9_000, 9_000);
-		Assertions.assertThat(this.f.call("once", 6_000, p).caller().answers).isZero();
-		Assertions.assertThat(this.f.workers.holds).hasSize(1);
+		Assertions.assertThat(this.f.call("once", 6_000, p).caller().responseCount).isZero();
+		Assertions.assertThat(this.f.workers.reservations).hasSize(1);
 	}
 
 	// Engines that make a token in less than a millisecond, and the first answer has only
 	// just begun. Its events show the pace, seconds before it ends.
 	@Test
 	void learnsThePaceFromAnAnswerThatGoesOn() {
-		this.f.worker("d1", "llm", WorkerStage.DECODE);
+		this.f.addWorker("d1", "llm", WorkerStage.DECODE);
 		answerGoesOn(7);
-		Assertions.assertThat(this.f.gateway.times("llm").answerMs(5_000)).isBetween(3_400L, 3_600L);
+		Assertions.assertThat(this.f.gateway.engineTimes("llm").answerMs(5_000)).isBetween(3_400L, 3_600L);
 	}
 
 	private void answerGoesOn(long eventMs) {
-		this.f.prompt("once", 100);
+		this.f.callWithPrompt("once", 100);
 		hold(0).listener().onHeld("h1");
 		this.f.timer.advance(10);
-		this.f.workers.last().head(200);
+		this.f.workers.lastRun().respondHead(200);
 		for (int i = 1; i <= 5; i++) {
-			this.f.workers.last().events("id: " + i + "\ndata: a\n\n");
+			this.f.workers.lastRun().sendEvents("id: " + i + "\ndata: a\n\n");
 			this.f.timer.advance(eventMs);
 		}
 	}
--- a/src/test/java/io/shallotspur/gateway/LimitTests.java
+++ b/src/test/java/io/shallotspur/gateway/LimitTests.java
@@ -129,26 +129,26 @@
 	// Guards against callers who wait although the limit leaves none for them in time.
 	@Test
 	void whatALimitLeavesNoRoomForIsRefusedAtOnce() {
-		GatewayFixture f = new GatewayFixture().configured().plainWorkers(1);
+		GatewayFixture f = new GatewayFixture().configured().addPlainWorkers(1);
 		f.call("safe");
-		f.workers.last().answerNaming(limit(4));
+		f.workers.lastRun().respondWithLimit(limit(4));
 		Call first = f.call("safe");
 		Call second = f.call("safe");
-		Assertions.assertThat(first.caller().ended).isFalse();
+		Assertions.assertThat(first.caller().completed).isFalse();
 		Assertions.assertThat(second.caller().refusal.code()).isEqualTo(RefusalReason.WORKERS_LIMITED);
 		Assertions.assertThat(second.caller().status).isEqualTo(503);
 		Assertions.assertThat(second.caller().refusal.retryAfterMs()).isBetween(400L, 500L);
 		f.timer.advance(250);
-		f.workers.last().answerNaming(limit(4));
+		f.workers.lastRun().respondWithLimit(limit(4));
 		Assertions.assertThat(first.caller().status).isEqualTo(200);
 	}
 
 	@Test
 	void aCallerWhoLeavesGivesItsTimeToTheNext() {
-		GatewayFixture f = new GatewayFixture().configured().plainWorkers(1);
+		GatewayFixture f = new GatewayFixture().configured().addPlainWorkers(1);
 		f.call("safe");
-		f.workers.last().answerNaming(limit(4));
-		f.call("safe").gone().run();
+		f.workers.lastRun().respondWithLimit(limit(4));
+		f.call("safe").disconnect().run();
 		Assertions.assertThat(f.call("safe").caller().refusal).isNull();
 		f.timer.advance(250);
 		Assertions.assertThat(f.workers.runs).hasSize(2);
@@ -157,12 +157,12 @@
 	// Guards against a burst of those who wait when the limit falls meanwhile.
 	@Test
 	void whoWaitsKeepsToALimitThatHasFallen() {
-		GatewayFixture f = new GatewayFixture().configured().plainWorkers(1);
+		GatewayFixture f = new GatewayFixture().configured().addPlainWorkers(1);
 		f.call("safe");
 		f.call("safe");
-		f.workers.runs.get(0).answerNaming(limit(20));
+		f.workers.runs.get(0).respondWithLimit(limit(20));
 		Call[] waiting = { f.call("safe"), f.call("safe"), f.call("safe") };
-		f.workers.runs.get(1).answerNaming(limit(2));
+		f.workers.runs.get(1).respondWithLimit(limit(2));
 		f.timer.advance(200);
 		Assertions.assertThat(f.workers.runs).hasSize(2);
 		f.timer.advance(500);
@@ -183,13 +183,13 @@
 
 	@Test
 	void theLimitEndsWithTheFirstAnswerThatDoesNotNameIt() {
-		GatewayFixture f = new GatewayFixture().configured().plainWorkers(1);
+		GatewayFixture f = new GatewayFixture().configured().addPlainWorkers(1);
 		f.call("safe");
-		f.workers.last().answerNaming(limit(5));
+		f.workers.lastRun().respondWithLimit(limit(5));
 		f.timer.advance(1_000);
 		f.call("safe");
 		f.timer.advance(10);
-		f.workers.last().answerNaming(WorkerLimit.NONE);
+		f.workers.lastRun().respondWithLimit(WorkerLimit.NONE);
 		for (int i = 0; i < 20; i++) {
 			f.call("safe");
 		}
@@ -199,15 +199,15 @@
 	// Guards against a worker that is never used again since nobody asks it.
 	@Test
 	void aWorkerThatTookNothingIsAskedAgain() {
-		GatewayFixture f = new GatewayFixture().configured().plainWorkers(3);
+		GatewayFixture f = new GatewayFixture().configured().addPlainWorkers(3);
 		f.call("safe");
-		String limited = f.workers.last().call.worker().id();
-		f.workers.last().answerNaming(limit(0));
+		String limited = f.workers.lastRun().call.worker().id();
+		f.workers.lastRun().respondWithLimit(limit(0));
 		long before = f.workers.runs.size();
 		for (int i = 0; i < 100; i++) {
 			f.timer.advance(100);
 			f.call("safe");
-			f.workers.last().answerNaming(WorkerLimit.NONE);
+			f.workers.lastRun().respondWithLimit(WorkerLimit.NONE);
 		}
 		Assertions.assertThat(f.workers.runs.stream().skip(before).filter((r) -> r.call.worker().id().equals(limited)))
 			.isNotEmpty();
@@ -216,10 +216,10 @@
 	@Test
 	void aWorkerThatStartsAgainNamesNoLimit() {
 		GatewayFixture f = new GatewayFixture().configured();
-		WorkerInfo w = f.worker("p1", "plain", WorkerStage.PLAIN);
+		WorkerInfo w = f.addWorker("p1", "plain", WorkerStage.PLAIN);
 		f.call("safe");
-		f.workers.last().answerNaming(limit(0));
-		f.startsAgain(w);
+		f.workers.lastRun().respondWithLimit(limit(0));
+		f.restart(w);
 		f.call("safe");
 		Assertions.assertThat(f.workers.runs).hasSize(2);
 	}
@@ -229,45 +229,45 @@
 	@Test
 	void placesAreReservedWithinTheLimitOnly() {
 		GatewayFixture f = new GatewayFixture().configured();
-		f.worker("d1", "llm", WorkerStage.DECODE);
-		f.prompt("once", 200);
-		f.workers.holds.get(0).listener().onNews(new WorkerNews(null, limit(4)));
-		f.workers.holds.get(0).listener().onHeld("h1");
+		f.addWorker("d1", "llm", WorkerStage.DECODE);
+		f.callWithPrompt("once", 200);
+		f.workers.reservations.get(0).listener().onNews(new WorkerNews(null, limit(4)));
+		f.workers.reservations.get(0).listener().onHeld("h1");
 		Assertions.assertThat(f.workers.runs).hasSize(1);
 		for (int i = 0; i < 4; i++) {
-			f.prompt("once", 200);
+			f.callWithPrompt("once", 200);
 		}
-		Assertions.assertThat(f.workers.holds).hasSize(1);
+		Assertions.assertThat(f.workers.reservations).hasSize(1);
 		f.timer.advance(1_000);
-		Assertions.assertThat(f.workers.holds).hasSizeBetween(2, 4);
+		Assertions.assertThat(f.workers.reservations).hasSizeBetween(2, 4);
 	}
 
 	// Guards against a limit that is used up by requests that were never sent.
 	@Test
 	void aRefusedPlaceLeavesTheLimitToTheNext() {
 		GatewayFixture f = new GatewayFixture().configured();
-		f.worker("d1", "llm", WorkerStage.DECODE);
-		f.prompt("once", 200);
-		f.workers.holds.get(0).listener().onNews(new WorkerNews(null, limit(4)));
-		f.workers.holds.get(0).listener().onFull();
+		f.addWorker("d1", "llm", WorkerStage.DECODE);
+		f.callWithPrompt("once", 200);
+		f.workers.reservations.get(0).listener().onNews(new WorkerNews(null, limit(4)));
+		f.workers.reservations.get(0).listener().onFull();
 		f.timer.advance(500);
-		Assertions.assertThat(f.workers.holds).hasSize(2);
-		f.workers.holds.get(1).listener().onFull();
+		Assertions.assertThat(f.workers.reservations).hasSize(2);
+		f.workers.reservations.get(1).listener().onFull();
 		f.timer.advance(250);
-		Assertions.assertThat(f.workers.holds).hasSize(3);
+		Assertions.assertThat(f.workers.reservations).hasSize(3);
 	}
 
 	@Test
 	void aPrefillWorkerInNeedIsPassedOver() {
 		GatewayFixture f = new GatewayFixture().configured();
-		f.worker("d1", "llm", WorkerStage.DECODE);
-		f.worker("f1", "llm", WorkerStage.PREFILL);
-		f.prompt("once", 3_000);
-		f.workers.holds.get(0).listener().onHeld("h1");
+		f.addWorker("d1", "llm", WorkerStage.DECODE);
+		f.addWorker("f1", "llm", WorkerStage.PREFILL);
+		f.callWithPrompt("once", 3_000);
+		f.workers.reservations.get(0).listener().onHeld("h1");
 		f.workers.prefills.get(0).listener.onNews(new WorkerNews(null, limit(0.5)));
 		f.workers.prefills.get(0).listener.onReady("k1");
-		f.prompt("once", 3_000);
-		f.workers.holds.get(1).listener().onHeld("h2");
+		f.callWithPrompt("once", 3_000);
+		f.workers.reservations.get(1).listener().onHeld("h2");
 		Assertions.assertThat(f.workers.prefills).hasSize(1);
 		Assertions.assertThat(f.workers.runs).hasSize(2);
 	}
@@ -278,10 +278,10 @@
 	@Test
 	void whereNobodyNamesALimitNobodyIsRefusedForOne() {
 		GatewayFixture f = new GatewayFixture().configured();
-		f.worker("d1", "llm", WorkerStage.DECODE);
+		f.addWorker("d1", "llm", WorkerStage.DECODE);
 		PromptShape p = new PromptShape(3_000, 1_190, 400);
 		for (int i = 0; i < 20; i++) {
-			f.gateway.times("llm").streamed(12_000, p, 400);
+			f.gateway.engineTimes("llm").streamed(12_000, p, 400);
 		}
 		Call c = f.call("once", 8_000, p);
 		Assertions.assertThat(c.caller().refusal.code()).isEqualTo(RefusalReason.WORKERS_FULL);
@@ -291,17 +291,17 @@
 	// resets them, and whether their requests have run is not known.
 	@Test
 	void noWorkerGetsMoreConnectionsThanItTakesFromAllVms() {
-		GatewayFixture f = new GatewayFixture().configured().plainWorkers(1);
+		GatewayFixture f = new GatewayFixture().configured().addPlainWorkers(1);
 		EntryVm me = new EntryVm("vms/1", "10.1.0.1:80", "r", "hall-a", 1, false);
-		f.gateway.vms().own(me);
-		f.gateway.vms().seen(new EntryVm("vms/2", "10.1.0.2:80", "r", "hall-b", 1, false));
+		f.gateway.entryVms().registerSelf(me);
+		f.gateway.entryVms().register(new EntryVm("vms/2", "10.1.0.2:80", "r", "hall-b", 1, false));
 		Call last = null;
 		for (int i = 0; i < 60; i++) {
 			last = f.call("unsafe");
 		}
 		Assertions.assertThat(f.workers.runs).hasSizeLessThanOrEqualTo(50);
 		Assertions.assertThat(last.caller().status).isEqualTo(503);
-		f.workers.runs.get(0).answer(200, "fine");
+		f.workers.runs.get(0).respond(200, "fine");
 		Assertions.assertThat(f.call("unsafe").caller().refusal).isNull();
 	}
 
--- a/src/test/java/io/shallotspur/gateway/LimitedFleet.java
+++ b/src/test/java/io/shallotspur/gateway/LimitedFleet.java
@@ -16,7 +16,7 @@
 
 /**
  * Several VMs in virtual time before plain workers that may name limits. Callers use the
- * VMs that {@link EntryVms} names, and now and then one that stands by.
+ * VMs that {@link EntryVmDirectory} names, and now and then one that stands by.
  */
 final class LimitedFleet {
 
@@ -72,9 +72,9 @@
 	}
 
 	private GatewayFixture start(int i, int workers) {
-		GatewayFixture f = new GatewayFixture(0, this.random::nextDouble).configured().plainWorkers(workers);
-		f.gateway.vms().own(this.entries.get(i));
-		this.entries.forEach(f.gateway.vms()::seen);
+		GatewayFixture f = new GatewayFixture(0, this.random::nextDouble).configured().addPlainWorkers(workers);
+		f.gateway.entryVms().registerSelf(this.entries.get(i));
+		this.entries.forEach(f.gateway.entryVms()::register);
 		return f;
 	}
 
@@ -110,7 +110,7 @@
 	private void call(double strayShare) {
 		boolean stray = this.random.nextDouble() < strayShare;
 		List<GatewayFixture> l = this.vms.stream()
-			.filter((f) -> stray || !f.gateway.vms().standsBy(f.timer.now()))
+			.filter((f) -> stray || !f.gateway.entryVms().isStandby(f.timer.now()))
 			.toList();
 		boolean first = this.random.nextDouble() < this.firstShare;
 		call(first ? l.get(0) : l.get(this.random.nextInt(l.size())));
@@ -136,9 +136,9 @@
 	 * @param hears which VMs hear of it
 	 */
 	void crowded(int vm, boolean crowded, IntPredicate hears) {
-		EntryVm e = this.entries.get(vm).withCrowded(crowded);
+		EntryVm e = this.entries.get(vm).withOverloaded(crowded);
 		this.entries.set(vm, e);
-		IntStream.range(0, this.vms.size()).filter(hears).forEach((i) -> this.vms.get(i).gateway.vms().seen(e));
+		IntStream.range(0, this.vms.size()).filter(hears).forEach((i) -> this.vms.get(i).gateway.entryVms().register(e));
 	}
 
 	int size() {
@@ -172,7 +172,7 @@
 			if (limit.named()) {
 				this.toldAt.putIfAbsent(d.vm() + d.worker(), this.now);
 			}
-			d.run().answerNaming(limit);
+			d.run().respondWithLimit(limit);
 		}
 	}
 
--- a/src/test/java/io/shallotspur/gateway/ManualTimer.java
+++ b/src/test/java/io/shallotspur/gateway/ManualTimer.java
@@ -22,7 +22,7 @@
 	}
 
 	@Override
-	public Runnable after(long delayMs, Runnable task) {
+	public Runnable schedule(long delayMs, Runnable task) {
 		Entry e = new Entry(this.now + delayMs, task);
 		this.entries.add(e);
 		return () -> this.entries.remove(e);
--- a/src/test/java/io/shallotspur/gateway/NopWorkers.java
+++ b/src/test/java/io/shallotspur/gateway/NopWorkers.java
@@ -18,15 +18,15 @@
 	}
 
 	@Override
-	public void release(KvSource source) {
+	public void releaseKvCache(KvSource source) {
 	}
 
 	@Override
-	public void hold(WorkerInfo worker, int tokens, long ttlMs, HoldListener listener) {
+	public void reserve(WorkerInfo worker, int tokens, long ttlMs, HoldListener listener) {
 	}
 
 	@Override
-	public void drop(WorkerInfo worker, String hold) {
+	public void cancelReservation(WorkerInfo worker, String hold) {
 	}
 
 }
--- a/src/test/java/io/shallotspur/gateway/VmLoadTests.java
+++ b/src/test/java/io/shallotspur/gateway/OverloadDetectorTests.java
@@ -4,18 +4,18 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests of {@link VmLoad}.
+ * Tests of {@link OverloadDetector}.
  */
-class VmLoadTests {
+class OverloadDetectorTests {
 
-	private final VmLoad load = new VmLoad();
+	private final OverloadDetector load = new OverloadDetector();
 
 	private long now;
 
 	private void late(int samples, long ms) {
 		for (int i = 0; i < samples; i++) {
-			this.now += VmLoad.SAMPLE_MS;
-			this.load.late(ms, this.now);
+			this.now += OverloadDetector.SAMPLE_INTERVAL_MS;
+			this.load.recordDelay(ms, this.now);
 		}
 	}
 
@@ -23,7 +23,7 @@
 	@Test
 	void isCrowdedWhileTasksRunLate() {
 		late(12, 40);
-		Assertions.assertThat(this.load.crowded()).isTrue();
+		Assertions.assertThat(this.load.overloaded()).isTrue();
 	}
 
 	// A collection of garbage, or classes that are loaded, stop everything once. Said to
@@ -32,7 +32,7 @@
 	void isNotCrowdedByOnePause() {
 		late(1, 120);
 		late(5, 0);
-		Assertions.assertThat(this.load.crowded()).isFalse();
+		Assertions.assertThat(this.load.overloaded()).isFalse();
 	}
 
 	// Other VMs have taken half of the callers. Said to have room at once, this one would
@@ -41,9 +41,9 @@
 	void hasRoomOnlyAfterAWhile() {
 		late(20, 40);
 		late(40, 0);
-		Assertions.assertThat(this.load.crowded()).isTrue();
+		Assertions.assertThat(this.load.overloaded()).isTrue();
 		late(40, 0);
-		Assertions.assertThat(this.load.crowded()).isFalse();
+		Assertions.assertThat(this.load.overloaded()).isFalse();
 	}
 
 }
--- a/src/test/java/io/shallotspur/gateway/PrefillTests.java
+++ b/src/test/java/io/shallotspur/gateway/PrefillTests.java
@@ -25,27 +25,27 @@
 
 	@BeforeEach
 	void engines() {
-		this.f.worker("d1", "llm", WorkerStage.DECODE);
-		this.f.worker("f1", "llm", WorkerStage.PREFILL);
+		this.f.addWorker("d1", "llm", WorkerStage.DECODE);
+		this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
 	}
 
 	// And an answer runs at the decode worker.
 	private void paceIsKnown() {
 		prompt("once", 100);
-		this.f.gateway.times("llm")
+		this.f.gateway.engineTimes("llm")
 			.heard(new EngineFigures(20, 3_000, 500, 3_800, 0.03, 0.03, 1, LengthModel.BELIEVED));
 	}
 
 	private void prefillsAreSlow() {
 		for (int i = 0; i < 8; i++) {
-			this.f.gateway.times("llm").prefillTimedOut(400);
+			this.f.gateway.engineTimes("llm").prefillTimedOut(400);
 		}
 	}
 
 	private Call prompt(String route, int tokens) {
-		int n = this.f.workers.holds.size();
-		Call c = this.f.prompt(route, tokens);
-		this.f.workers.holds.get(n).listener().onHeld("h" + n);
+		int n = this.f.workers.reservations.size();
+		Call c = this.f.callWithPrompt(route, tokens);
+		this.f.workers.reservations.get(n).listener().onHeld("h" + n);
 		return c;
 	}
 
@@ -76,7 +76,7 @@
 	@Test
 	void aLongPromptWaitsAlsoWhenNothingIsKnownOfTheDecodeWorker() {
 		paceIsKnown();
-		this.f.worker("d2", "llm", WorkerStage.DECODE);
+		this.f.addWorker("d2", "llm", WorkerStage.DECODE);
 		for (int i = 0; i < 4; i++) {
 			prompt("once", LONG_PROMPT);
 		}
@@ -89,14 +89,14 @@
 	@Test
 	void prefillsApartForACallerWhoComesBackToGoOn() {
 		paceIsKnown();
-		int n = this.f.workers.holds.size();
-		this.f.resumed("resume", LONG_PROMPT, "7");
-		this.f.workers.holds.get(n).listener().onHeld("h");
+		int n = this.f.workers.reservations.size();
+		this.f.callResuming("resume", LONG_PROMPT, "7");
+		this.f.workers.reservations.get(n).listener().onHeld("h");
 		Assertions.assertThat(this.f.workers.prefills).hasSize(1);
 		Assertions.assertThat(this.f.workers.prefills.get(0).call.lastEventId()).isEqualTo("7");
 		this.f.workers.prefills.get(0).listener.onReady("kv");
-		Assertions.assertThat(this.f.workers.last().call.lastEventId()).isEqualTo("7");
-		Assertions.assertThat(this.f.workers.last().call.kvSource().handle()).isEqualTo("kv");
+		Assertions.assertThat(this.f.workers.lastRun().call.lastEventId()).isEqualTo("7");
+		Assertions.assertThat(this.f.workers.lastRun().call.kvSource().handle()).isEqualTo("kv");
 	}
 
 	// The prompt was read and the answer that names its KV cache was lost. The route
@@ -105,7 +105,7 @@
 	@Test
 	void prefillsAgainWhereAnswersWouldPause() {
 		paceIsKnown();
-		this.f.worker("f2", "llm", WorkerStage.PREFILL);
+		this.f.addWorker("f2", "llm", WorkerStage.PREFILL);
 		prompt("resume", LONG_PROMPT);
 		FakeWorkers.Prefill first = this.f.workers.prefills.get(0);
 		first.listener.onFailure(new ExchangeFailure(true, "reset"));
@@ -113,18 +113,18 @@
 		FakeWorkers.Prefill second = this.f.workers.prefills.get(1);
 		Assertions.assertThat(second.call.worker().id()).isNotEqualTo(first.call.worker().id());
 		second.listener.onReady("kv");
-		Assertions.assertThat(this.f.workers.last().call.kvSource().handle()).isEqualTo("kv");
+		Assertions.assertThat(this.f.workers.lastRun().call.kvSource().handle()).isEqualTo("kv");
 	}
 
 	// The same where the route allows one attempt: only the first prefill is free.
 	@Test
 	void doesNotSpendTheOnlyAttemptOnAPrefill() {
 		paceIsKnown();
-		this.f.worker("f2", "llm", WorkerStage.PREFILL);
+		this.f.addWorker("f2", "llm", WorkerStage.PREFILL);
 		prompt("once", LONG_PROMPT);
 		this.f.workers.prefills.get(0).listener.onFailure(new ExchangeFailure(true, "reset"));
 		Assertions.assertThat(this.f.workers.prefills).hasSize(1);
-		Assertions.assertThat(this.f.workers.last().call.kvSource()).isNull();
+		Assertions.assertThat(this.f.workers.lastRun().call.kvSource()).isNull();
 	}
 
 	// A burst fills the queue of the prefill worker. A prefill that is given up just
@@ -158,11 +158,11 @@
 		this.f.workers.prefills.get(12).listener.onFailure(new ExchangeFailure(true, "reset"));
 		Assertions.assertThat(this.f.workers.prefills).hasSize(14);
 		this.f.timer.advance(1_000);
-		int holds = this.f.workers.holds.size();
+		int holds = this.f.workers.reservations.size();
 		int runs = this.f.workers.runs.size();
 		this.f.workers.prefills.get(13).listener.onReady("kv");
 		Assertions.assertThat(this.f.workers.runs).hasSize(runs + 1);
-		Assertions.assertThat(this.f.workers.holds).hasSize(holds);
+		Assertions.assertThat(this.f.workers.reservations).hasSize(holds);
 	}
 
 	// Prefill workers are slow, and a reservation ends while the prompt is read. Sent
@@ -176,12 +176,12 @@
 		this.f.workers.prefills.get(12).listener.onFailure(new ExchangeFailure(true, "reset"));
 		FakeWorkers.Prefill second = this.f.workers.prefills.get(this.f.workers.prefills.size() - 1);
 		this.f.timer.advance(850);
-		int holds = this.f.workers.holds.size();
+		int holds = this.f.workers.reservations.size();
 		second.listener.onReady("kv");
-		Assertions.assertThat(this.f.workers.holds).hasSize(holds + 1);
-		this.f.workers.holds.get(holds).listener().onHeld("h-new");
-		Assertions.assertThat(this.f.workers.last().call.hold()).isEqualTo("h-new");
-		Assertions.assertThat(this.f.workers.last().call.kvSource().handle()).isEqualTo("kv");
+		Assertions.assertThat(this.f.workers.reservations).hasSize(holds + 1);
+		this.f.workers.reservations.get(holds).listener().onHeld("h-new");
+		Assertions.assertThat(this.f.workers.lastRun().call.reservation()).isEqualTo("h-new");
+		Assertions.assertThat(this.f.workers.lastRun().call.kvSource().handle()).isEqualTo("kv");
 	}
 
 	private void eightPrefillsTake(long ms) {
@@ -196,7 +196,7 @@
 	private void slowPrefillsAreUnderWay() {
 		paceIsKnown();
 		prefillsAreSlow();
-		this.f.worker("f2", "llm", WorkerStage.PREFILL);
+		this.f.addWorker("f2", "llm", WorkerStage.PREFILL);
 		for (int i = 0; i < 12; i++) {
 			prompt("once", LONG_PROMPT);
 		}
--- a/src/test/java/io/shallotspur/gateway/QuotaTests.java
+++ b/src/test/java/io/shallotspur/gateway/QuotaTests.java
@@ -32,7 +32,7 @@
 	}
 
 	private static GatewayFixture gateway(Customer c) {
-		GatewayFixture f = new GatewayFixture().plainWorkers(1);
+		GatewayFixture f = new GatewayFixture().addPlainWorkers(1);
 		f.gateway.configure(GatewayFixture.table(1, c));
 		f.timer.advance(20_000);
 		return f;
@@ -49,16 +49,16 @@
 	void refusesWhatIsBeyondTheQuotaWithAnHonestAdvice() {
 		GatewayFixture f = gateway(ACME);
 		int served = 0;
-		Call c = f.keyed("safe", "key-1");
+		Call c = f.callWithKey("safe", "key-1");
 		while (c.caller().refusal == null) {
-			f.workers.last().answer(200, "fine");
+			f.workers.lastRun().respond(200, "fine");
 			served++;
-			c = f.keyed("safe", "key-1");
+			c = f.callWithKey("safe", "key-1");
 		}
 		Assertions.assertThat(served).isEqualTo(46);
 		Assertions.assertThat(c.caller().status).isEqualTo(429);
 		f.timer.advance(c.caller().refusal.retryAfterMs());
-		Assertions.assertThat(f.keyed("safe", "key-1").caller().refusal).isNull();
+		Assertions.assertThat(f.callWithKey("safe", "key-1").caller().refusal).isNull();
 	}
 
 	// Workers are full and refuse. Were the request charged all the same, its caller, who
@@ -67,8 +67,8 @@
 	void whatHasNotRunIsNotCharged() {
 		GatewayFixture f = gateway(ACME);
 		for (int i = 0; i < 200; i++) {
-			Call c = f.keyed("unsafe", "key-1");
-			f.workers.last().notRun();
+			Call c = f.callWithKey("unsafe", "key-1");
+			f.workers.lastRun().rejectNotRun();
 			Assertions.assertThat(c.caller().status).isEqualTo(503);
 		}
 	}
@@ -76,14 +76,14 @@
 	// One customer sends many times its usual. The others must not notice.
 	@Test
 	void oneCustomersQuotaIsNotAnothers() {
-		GatewayFixture f = new GatewayFixture().plainWorkers(1);
+		GatewayFixture f = new GatewayFixture().addPlainWorkers(1);
 		f.gateway.configure(GatewayFixture.table(1, ACME, GatewayFixture.customer("bolt", TOKENS, "key-2")));
 		f.timer.advance(20_000);
 		for (int i = 0; i < 100; i++) {
-			f.keyed("safe", "key-1");
+			f.callWithKey("safe", "key-1");
 		}
-		Assertions.assertThat(f.keyed("safe", "key-1").caller().status).isEqualTo(429);
-		Assertions.assertThat(f.keyed("safe", "key-2").caller().refusal).isNull();
+		Assertions.assertThat(f.callWithKey("safe", "key-1").caller().status).isEqualTo(429);
+		Assertions.assertThat(f.callWithKey("safe", "key-2").caller().refusal).isNull();
 	}
 
 	// The part of a VM is smaller than one request. It must let one through now and then
@@ -91,9 +91,9 @@
 	@Test
 	void aRequestLargerThanTheBurstPassesNowAndThen() {
 		GatewayFixture f = gateway(customer(1_000, 1_000));
-		f.worker("d1", "llm", WorkerStage.DECODE);
-		Assertions.assertThat(f.keyedPrompt("once", "key-1", 6_000).caller().ended).isFalse();
-		Assertions.assertThat(f.keyedPrompt("once", "key-1", 6_000).caller().status).isEqualTo(429);
+		f.addWorker("d1", "llm", WorkerStage.DECODE);
+		Assertions.assertThat(f.callWithKeyAndPrompt("once", "key-1", 6_000).caller().completed).isFalse();
+		Assertions.assertThat(f.callWithKeyAndPrompt("once", "key-1", 6_000).caller().status).isEqualTo(429);
 	}
 
 	// The operator lowers the quota far below what the customer sends. What is left of
@@ -103,7 +103,7 @@
 		GatewayFixture f = gateway(customer(100_000, 100_000));
 		f.gateway.configure(GatewayFixture.table(2, customer(1_000, 1_000)));
 		int served = 0;
-		while (f.keyed("safe", "key-1").caller().refusal == null) {
+		while (f.callWithKey("safe", "key-1").caller().refusal == null) {
 			served++;
 		}
 		Assertions.assertThat(served).isEqualTo(5);
--- a/src/test/java/io/shallotspur/gateway/RelayTests.java
+++ b/src/test/java/io/shallotspur/gateway/RelayTests.java
@@ -12,12 +12,12 @@
  */
 class RelayTests {
 
-	private final GatewayFixture f = new GatewayFixture().configured().plainWorkers(3);
+	private final GatewayFixture f = new GatewayFixture().configured().addPlainWorkers(3);
 
 	@Test
 	void answersWithWhatTheWorkerSaid() {
 		Call c = this.f.call("safe");
-		this.f.workers.last().answer(200, "fine");
+		this.f.workers.lastRun().respond(200, "fine");
 		Assertions.assertThat(c.caller().status).isEqualTo(200);
 		Assertions.assertThat(c.caller().body).isEqualTo("fine");
 		Assertions.assertThat(this.f.gateway.inProgress()).isZero();
@@ -39,18 +39,18 @@
 	@Test
 	void repeatsASafeRequestElsewhereAfterAFailure() {
 		Call c = this.f.call("safe");
-		String first = this.f.workers.last().call.worker().id();
-		this.f.workers.last().answer(500, "bad");
-		Assertions.assertThat(this.f.workers.last().call.worker().id()).isNotEqualTo(first);
-		this.f.workers.last().answer(200, "fine");
+		String first = this.f.workers.lastRun().call.worker().id();
+		this.f.workers.lastRun().respond(500, "bad");
+		Assertions.assertThat(this.f.workers.lastRun().call.worker().id()).isNotEqualTo(first);
+		this.f.workers.lastRun().respond(200, "fine");
 		Assertions.assertThat(c.caller().status).isEqualTo(200);
 	}
 
 	@Test
 	void givesTheWorkersFailureWhenAttemptsAreUsedUp() {
 		Call c = this.f.call("safe");
-		this.f.workers.last().answer(500, "bad");
-		this.f.workers.last().answer(500, "worse");
+		this.f.workers.lastRun().respond(500, "bad");
+		this.f.workers.lastRun().respond(500, "worse");
 		Assertions.assertThat(c.caller().status).isEqualTo(500);
 		Assertions.assertThat(c.caller().body).isEqualTo("worse");
 		Assertions.assertThat(this.f.workers.runs).hasSize(2);
@@ -61,7 +61,7 @@
 	@Test
 	void neverRepeatsAnUnsafeRequestThatMayHaveRun() {
 		Call c = this.f.call("unsafe");
-		this.f.workers.last().lost();
+		this.f.workers.lastRun().resetConnection();
 		Assertions.assertThat(this.f.workers.runs).hasSize(1);
 		Assertions.assertThat(c.caller().status).isEqualTo(502);
 	}
@@ -69,16 +69,16 @@
 	@Test
 	void repeatsAnUnsafeRequestThatSurelyHasNotRun() {
 		Call c = this.f.call("unsafe");
-		this.f.workers.last().notRun();
-		this.f.workers.last().answer(200, "fine");
+		this.f.workers.lastRun().rejectNotRun();
+		this.f.workers.lastRun().respond(200, "fine");
 		Assertions.assertThat(c.caller().status).isEqualTo(200);
 	}
 
 	@Test
 	void refusesWithAdviceWhenEveryWorkerIsFull() {
 		Call c = this.f.call("unsafe");
-		this.f.workers.last().notRun();
-		this.f.workers.last().notRun();
+		this.f.workers.lastRun().rejectNotRun();
+		this.f.workers.lastRun().rejectNotRun();
 		Assertions.assertThat(c.caller().status).isEqualTo(503);
 		Assertions.assertThat(c.caller().refusal.retryAfterMs()).isPositive();
 	}
@@ -88,9 +88,9 @@
 	@Test
 	void aConnectionThatWasNotMadeIsNoAttempt() {
 		Call c = this.f.call("unsafe");
-		this.f.workers.last().notSent();
-		this.f.workers.last().notSent();
-		this.f.workers.last().answer(200, "fine");
+		this.f.workers.lastRun().refuseConnection();
+		this.f.workers.lastRun().refuseConnection();
+		this.f.workers.lastRun().respond(200, "fine");
 		Assertions.assertThat(c.caller().status).isEqualTo(200);
 	}
 
@@ -99,25 +99,25 @@
 	@Test
 	void neverPassesOnAnAnswerToAnotherRequest() {
 		Call c = this.f.call("unsafe");
-		this.f.workers.last().listener
-			.onHead(new AnswerHead(200, List.of(), AnswerOrigin.FOREIGN, false, false, WorkerNews.NONE));
+		this.f.workers.lastRun().listener
+			.onHead(new ResponseHead(200, List.of(), ResponseAuthenticity.MISMATCHED, false, false, WorkerNews.NONE));
 		Assertions.assertThat(c.caller().status).isEqualTo(502);
-		Assertions.assertThat(this.f.workers.last().cancelled).isTrue();
+		Assertions.assertThat(this.f.workers.lastRun().cancelled).isTrue();
 	}
 
 	@Test
 	void neverPassesOnAnUnsignedSuccess() {
 		Call c = this.f.call("unsafe");
-		this.f.workers.last().listener
-			.onHead(new AnswerHead(200, List.of(), AnswerOrigin.UNSIGNED, false, false, WorkerNews.NONE));
+		this.f.workers.lastRun().listener
+			.onHead(new ResponseHead(200, List.of(), ResponseAuthenticity.UNSIGNED, false, false, WorkerNews.NONE));
 		Assertions.assertThat(c.caller().status).isEqualTo(502);
 	}
 
 	@Test
 	void stopsTheWorkerWhenTheCallerLeaves() {
 		Call c = this.f.call("safe");
-		c.gone().run();
-		Assertions.assertThat(this.f.workers.last().cancelled).isTrue();
+		c.disconnect().run();
+		Assertions.assertThat(this.f.workers.lastRun().cancelled).isTrue();
 		Assertions.assertThat(this.f.gateway.inProgress()).isZero();
 	}
 
@@ -127,8 +127,8 @@
 	@Test
 	void aConnectionThatClosesWithItsAnswerIsNoCallerWhoLeft() {
 		Call c = this.f.call("safe");
-		this.f.workers.last().answer(200, "fine");
-		c.gone().run();
+		this.f.workers.lastRun().respond(200, "fine");
+		c.disconnect().run();
 		Assertions.assertThat(this.f.gateway.inProgress()).isZero();
 		Assertions.assertThat(this.f.metrics.counter("relay.caller-gone").getCount()).isZero();
 	}
@@ -140,13 +140,13 @@
 		Call c = this.f.call("safe");
 		this.f.timer.advance(870);
 		Assertions.assertThat(c.caller().status).isEqualTo(504);
-		Assertions.assertThat(this.f.workers.last().cancelled).isTrue();
+		Assertions.assertThat(this.f.workers.lastRun().cancelled).isTrue();
 	}
 
 	@Test
 	void givesTheWorkerTheTimeThatIsLeft() {
 		this.f.call("safe", 500, null);
-		Assertions.assertThat(this.f.workers.last().call.timeLeftMs()).isEqualTo(500);
+		Assertions.assertThat(this.f.workers.lastRun().call.timeoutMs()).isEqualTo(500);
 	}
 
 	// Workers that lose every request would draw a second send for each of them; the
@@ -156,9 +156,9 @@
 		for (int i = 0; i < 200; i++) {
 			this.f.call("safe");
 			int n = this.f.workers.runs.size();
-			this.f.workers.last().answer(500, "");
+			this.f.workers.lastRun().respond(500, "");
 			if (this.f.workers.runs.size() > n) {
-				this.f.workers.last().answer(500, "");
+				this.f.workers.lastRun().respond(500, "");
 			}
 		}
 		// A fifth of 200 and a share of the slack of 50 for one VM and one unheard of.
@@ -173,14 +173,14 @@
 						this.f.timer.now());
 		}
 		this.f.call("safe");
-		Assertions.assertThat(this.f.workers.last().call.worker().id()).isEqualTo("p3");
+		Assertions.assertThat(this.f.workers.lastRun().call.worker().id()).isEqualTo("p3");
 	}
 
 	@Test
 	void aNewerConfigurationIsNeverReplacedByAnOlderOne() {
 		Assertions.assertThat(this.f.gateway.configure(GatewayFixture.table(5))).isTrue();
 		Assertions.assertThat(this.f.gateway.configure(GatewayFixture.table(4))).isFalse();
-		Assertions.assertThat(this.f.gateway.table().orElseThrow().version()).isEqualTo(5);
+		Assertions.assertThat(this.f.gateway.routeTable().orElseThrow().version()).isEqualTo(5);
 	}
 
 	// A worker crashed and another incarnation answers at its address, but the registry
@@ -190,11 +190,11 @@
 	@Test
 	void aReplacedWorkerGetsNothingMore() {
 		this.f.call("unsafe");
-		String gone = this.f.workers.last().call.worker().id();
-		this.f.workers.last().replaced();
+		String gone = this.f.workers.lastRun().call.worker().id();
+		this.f.workers.lastRun().rejectReplaced();
 		for (int i = 0; i < 20; i++) {
 			this.f.call("safe");
-			Assertions.assertThat(this.f.workers.last().call.worker().id()).isNotEqualTo(gone);
+			Assertions.assertThat(this.f.workers.lastRun().call.worker().id()).isNotEqualTo(gone);
 		}
 	}
 
@@ -203,11 +203,11 @@
 	@Test
 	void aWorkerThatTakesNoConnectionIsLeftAloneForAWhile() {
 		this.f.call("unsafe");
-		String dark = this.f.workers.last().call.worker().id();
-		this.f.workers.last().notSent();
+		String dark = this.f.workers.lastRun().call.worker().id();
+		this.f.workers.lastRun().refuseConnection();
 		for (int i = 0; i < 20; i++) {
 			this.f.call("safe");
-			Assertions.assertThat(this.f.workers.last().call.worker().id()).isNotEqualTo(dark);
+			Assertions.assertThat(this.f.workers.lastRun().call.worker().id()).isNotEqualTo(dark);
 		}
 	}
 
--- a/src/test/java/io/shallotspur/gateway/ServingSetTests.java
+++ b/src/test/java/io/shallotspur/gateway/ServingVmSelectorTests.java
@@ -9,16 +9,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests of {@link ServingSet}.
+ * Tests of {@link ServingVmSelector}.
  */
-class ServingSetTests {
+class ServingVmSelectorTests {
 
 	private static EntryVm vm(String key, double cores, boolean crowded) {
 		return new EntryVm(key, key, "region-1", "hall-a", cores, crowded);
 	}
 
 	private static List<String> keys(List<EntryVm> l) {
-		return ServingSet.of(l).stream().map(EntryVm::key).toList();
+		return ServingVmSelector.select(l).stream().map(EntryVm::key).toList();
 	}
 
 	// A hundred VMs serve forty requests a second. Spread over all of them, no VM sees a
--- a/src/test/java/io/shallotspur/gateway/StreamRelayTests.java
+++ b/src/test/java/io/shallotspur/gateway/StreamRelayTests.java
@@ -15,29 +15,29 @@
 
 	@BeforeEach
 	void engines() {
-		this.f.worker("d1", "llm", WorkerStage.DECODE);
-		this.f.worker("d2", "llm", WorkerStage.DECODE);
+		this.f.addWorker("d1", "llm", WorkerStage.DECODE);
+		this.f.addWorker("d2", "llm", WorkerStage.DECODE);
 	}
 
 	private Call running(String route) {
-		Call c = this.f.prompt(route, 100);
-		this.f.workers.holds.get(this.f.workers.holds.size() - 1).listener().onHeld("h");
+		Call c = this.f.callWithPrompt(route, 100);
+		this.f.workers.reservations.get(this.f.workers.reservations.size() - 1).listener().onHeld("h");
 		return c;
 	}
 
 	@Test
 	void relaysWholeEvents() {
 		Call c = running("once");
-		FakeWorkers.Run r = this.f.workers.last();
-		r.head(200);
-		r.events("id: 1\nda");
-		Assertions.assertThat(c.caller().answers).isZero();
-		r.events("ta: a\n\nid: 2\n");
+		FakeWorkers.Run r = this.f.workers.lastRun();
+		r.respondHead(200);
+		r.sendEvents("id: 1\nda");
+		Assertions.assertThat(c.caller().responseCount).isZero();
+		r.sendEvents("ta: a\n\nid: 2\n");
 		Assertions.assertThat(c.caller().body).isEqualTo("id: 1\ndata: a\n\n");
-		r.events("data: b\n\n");
+		r.sendEvents("data: b\n\n");
 		r.listener.onEnd();
 		Assertions.assertThat(c.caller().body).isEqualTo(GatewayFixture.EVENTS);
-		Assertions.assertThat(c.caller().ended).isTrue();
+		Assertions.assertThat(c.caller().completed).isTrue();
 	}
 
 	// A worker dies in the middle of an event of a stream that must not run twice. An end
@@ -45,12 +45,12 @@
 	@Test
 	void breaksOffAStreamThatCannotGoOn() {
 		Call c = running("once");
-		this.f.workers.last().head(200);
-		this.f.workers.last().events(GatewayFixture.EVENTS + "id: 3\nda");
-		this.f.workers.last().lost();
+		this.f.workers.lastRun().respondHead(200);
+		this.f.workers.lastRun().sendEvents(GatewayFixture.EVENTS + "id: 3\nda");
+		this.f.workers.lastRun().resetConnection();
 		Assertions.assertThat(c.caller().body).isEqualTo(GatewayFixture.EVENTS);
-		Assertions.assertThat(c.caller().brokenOff).isTrue();
-		Assertions.assertThat(c.caller().ended).isFalse();
+		Assertions.assertThat(c.caller().aborted).isTrue();
+		Assertions.assertThat(c.caller().completed).isFalse();
 		Assertions.assertThat(this.f.workers.runs).hasSize(1);
 	}
 
@@ -59,18 +59,18 @@
 	@Test
 	void resumesAStreamAfterItsLastWholeEvent() {
 		Call c = running("resume");
-		this.f.workers.last().head(200);
-		this.f.workers.last().events(GatewayFixture.EVENTS + "id: 3\nda");
-		this.f.workers.last().lost();
-		this.f.workers.holds.get(1).listener().onHeld("h2");
-		FakeWorkers.Run r = this.f.workers.last();
+		this.f.workers.lastRun().respondHead(200);
+		this.f.workers.lastRun().sendEvents(GatewayFixture.EVENTS + "id: 3\nda");
+		this.f.workers.lastRun().resetConnection();
+		this.f.workers.reservations.get(1).listener().onHeld("h2");
+		FakeWorkers.Run r = this.f.workers.lastRun();
 		Assertions.assertThat(r.call.lastEventId()).isEqualTo("2");
-		r.head(200);
-		r.events("id: 3\ndata: c\n\n");
+		r.respondHead(200);
+		r.sendEvents("id: 3\ndata: c\n\n");
 		r.listener.onEnd();
 		Assertions.assertThat(c.caller().body).isEqualTo(GatewayFixture.EVENTS + "id: 3\ndata: c\n\n");
-		Assertions.assertThat(c.caller().ended).isTrue();
-		Assertions.assertThat(c.caller().answers).isEqualTo(1);
+		Assertions.assertThat(c.caller().completed).isTrue();
+		Assertions.assertThat(c.caller().responseCount).isEqualTo(1);
 	}
 
 	// The worker of a long answer dies some seconds after its caller came, and the others
@@ -79,15 +79,15 @@
 	@Test
 	void waitsForAPlaceToGoOnAsLongAsForTheFirst() {
 		Call c = running("resume");
-		this.f.workers.last().head(200);
-		this.f.workers.last().events(GatewayFixture.EVENTS);
+		this.f.workers.lastRun().respondHead(200);
+		this.f.workers.lastRun().sendEvents(GatewayFixture.EVENTS);
 		this.f.timer.advance(5_000);
-		this.f.workers.last().lost();
-		this.f.workers.holds.get(1).listener().onFull();
+		this.f.workers.lastRun().resetConnection();
+		this.f.workers.reservations.get(1).listener().onFull();
 		this.f.timer.advance(1_000);
-		Assertions.assertThat(c.caller().brokenOff).isFalse();
-		this.f.workers.holds.get(2).listener().onHeld("h2");
-		Assertions.assertThat(this.f.workers.last().call.lastEventId()).isEqualTo("2");
+		Assertions.assertThat(c.caller().aborted).isFalse();
+		this.f.workers.reservations.get(2).listener().onHeld("h2");
+		Assertions.assertThat(this.f.workers.lastRun().call.lastEventId()).isEqualTo("2");
 	}
 
 	// An answer without a length ends in the middle of an event with a clean close. It
@@ -95,49 +95,49 @@
 	@Test
 	void aCleanCloseWithinAnEventIsNoEnd() {
 		Call c = running("once");
-		this.f.workers.last().head(200);
-		this.f.workers.last().events(GatewayFixture.EVENTS + "id: 3\n");
-		this.f.workers.last().listener.onEnd();
-		Assertions.assertThat(c.caller().brokenOff).isTrue();
+		this.f.workers.lastRun().respondHead(200);
+		this.f.workers.lastRun().sendEvents(GatewayFixture.EVENTS + "id: 3\n");
+		this.f.workers.lastRun().listener.onEnd();
+		Assertions.assertThat(c.caller().aborted).isTrue();
 	}
 
 	@Test
 	void prefillsLongPromptsApart() {
-		this.f.worker("f1", "llm", WorkerStage.PREFILL);
-		Call c = this.f.prompt("once", 3_000);
-		this.f.workers.holds.get(0).listener().onHeld("h1");
+		this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
+		Call c = this.f.callWithPrompt("once", 3_000);
+		this.f.workers.reservations.get(0).listener().onHeld("h1");
 		this.f.workers.prefills.get(0).listener.onReady("kv1");
-		WorkerCall call = this.f.workers.last().call;
+		WorkerCall call = this.f.workers.lastRun().call;
 		Assertions.assertThat(call.kvSource().handle()).isEqualTo("kv1");
-		Assertions.assertThat(call.hold()).isEqualTo("h1");
-		this.f.workers.last().head(200);
-		this.f.workers.last().events(GatewayFixture.EVENTS);
-		this.f.workers.last().listener.onEnd();
-		Assertions.assertThat(c.caller().ended).isTrue();
+		Assertions.assertThat(call.reservation()).isEqualTo("h1");
+		this.f.workers.lastRun().respondHead(200);
+		this.f.workers.lastRun().sendEvents(GatewayFixture.EVENTS);
+		this.f.workers.lastRun().listener.onEnd();
+		Assertions.assertThat(c.caller().completed).isTrue();
 	}
 
 	// The caller leaves while its prompt is prefilled. The place at the decode worker and
 	// the KV cache that still comes would stay held for nobody.
 	@Test
 	void givesBackWhatACallerWhoLeftHeld() {
-		this.f.worker("f1", "llm", WorkerStage.PREFILL);
-		Call c = this.f.prompt("once", 3_000);
-		this.f.workers.holds.get(0).listener().onHeld("h1");
-		c.gone().run();
+		this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
+		Call c = this.f.callWithPrompt("once", 3_000);
+		this.f.workers.reservations.get(0).listener().onHeld("h1");
+		c.disconnect().run();
 		this.f.workers.prefills.get(0).listener.onReady("kv1");
 		Assertions.assertThat(this.f.workers.prefills.get(0).cancelled).isTrue();
-		Assertions.assertThat(this.f.workers.dropped).containsExactly("h1");
-		Assertions.assertThat(this.f.workers.released).containsExactly("kv1");
+		Assertions.assertThat(this.f.workers.cancelledReservations).containsExactly("h1");
+		Assertions.assertThat(this.f.workers.releasedHandles).containsExactly("kv1");
 		Assertions.assertThat(this.f.workers.runs).isEmpty();
 	}
 
 	// The caller leaves while the reservation is on its way.
 	@Test
 	void givesBackAReservationThatComesTooLate() {
-		Call c = this.f.prompt("once", 3_000);
-		c.gone().run();
-		this.f.workers.holds.get(0).listener().onHeld("h1");
-		Assertions.assertThat(this.f.workers.dropped).containsExactly("h1");
+		Call c = this.f.callWithPrompt("once", 3_000);
+		c.disconnect().run();
+		this.f.workers.reservations.get(0).listener().onHeld("h1");
+		Assertions.assertThat(this.f.workers.cancelledReservations).containsExactly("h1");
 		Assertions.assertThat(this.f.workers.runs).isEmpty();
 	}
 
@@ -145,23 +145,23 @@
 	// answer can still be on time.
 	@Test
 	void prefillsAtTheDecodeWorkerWhenAPrefillDoesNotAnswer() {
-		this.f.worker("f1", "llm", WorkerStage.PREFILL);
-		this.f.prompt("once", 3_000);
-		this.f.workers.holds.get(0).listener().onHeld("h1");
+		this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
+		this.f.callWithPrompt("once", 3_000);
+		this.f.workers.reservations.get(0).listener().onHeld("h1");
 		this.f.timer.advance(GatewayFixture.TARGET_MS * 6 / 10 + 1);
-		Assertions.assertThat(this.f.workers.last().call.kvSource()).isNull();
-		Assertions.assertThat(this.f.workers.last().call.hold()).isEqualTo("h1");
+		Assertions.assertThat(this.f.workers.lastRun().call.kvSource()).isNull();
+		Assertions.assertThat(this.f.workers.lastRun().call.reservation()).isEqualTo("h1");
 	}
 
 	// A refused prefill counts as an attempt; a route with one attempt has none left.
 	@Test
 	void aRefusedPrefillUsesUpTheOnlyAttempt() {
-		this.f.worker("f1", "llm", WorkerStage.PREFILL);
-		Call c = this.f.prompt("once", 3_000);
-		this.f.workers.holds.get(0).listener().onHeld("h1");
+		this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
+		Call c = this.f.callWithPrompt("once", 3_000);
+		this.f.workers.reservations.get(0).listener().onHeld("h1");
 		this.f.workers.prefills.get(0).listener.onRefused("status 503", false);
 		Assertions.assertThat(c.caller().status).isEqualTo(503);
-		Assertions.assertThat(this.f.workers.dropped).containsExactly("h1");
+		Assertions.assertThat(this.f.workers.cancelledReservations).containsExactly("h1");
 		Assertions.assertThat(this.f.workers.runs).isEmpty();
 	}
 
@@ -171,14 +171,14 @@
 	@Test
 	void goesOnElsewhereWhenTheWorkerHasStartedAgain() {
 		Call c = running("resume");
-		FakeWorkers.Run first = this.f.workers.last();
-		first.head(200);
-		first.events(GatewayFixture.EVENTS);
-		this.f.startsAgain(first.call.worker());
+		FakeWorkers.Run first = this.f.workers.lastRun();
+		first.respondHead(200);
+		first.sendEvents(GatewayFixture.EVENTS);
+		this.f.restart(first.call.worker());
 		Assertions.assertThat(first.cancelled).isTrue();
-		this.f.workers.holds.get(1).listener().onHeld("h2");
-		Assertions.assertThat(this.f.workers.last().call.lastEventId()).isEqualTo("2");
-		Assertions.assertThat(c.caller().brokenOff).isFalse();
+		this.f.workers.reservations.get(1).listener().onHeld("h2");
+		Assertions.assertThat(this.f.workers.lastRun().call.lastEventId()).isEqualTo("2");
+		Assertions.assertThat(c.caller().aborted).isFalse();
 	}
 
 	// The same for a stream that must not run twice: its caller is told at once that the
@@ -186,7 +186,7 @@
 	@Test
 	void endsWhatMayHaveRunWhenTheWorkerHasStartedAgain() {
 		Call c = running("once");
-		this.f.startsAgain(this.f.workers.last().call.worker());
+		this.f.restart(this.f.workers.lastRun().call.worker());
 		Assertions.assertThat(c.caller().status).isEqualTo(502);
 		Assertions.assertThat(this.f.workers.runs).hasSize(1);
 	}
@@ -195,70 +195,70 @@
 	// being asked. The handle may name another prompt by now: it must not be offered.
 	@Test
 	void neverOffersAHandleFromBeforeARestart() {
-		WorkerInfo f1 = this.f.worker("f1", "llm", WorkerStage.PREFILL);
-		this.f.prompt("once", 3_000);
-		this.f.workers.holds.get(0).listener().onHeld("h");
-		this.f.startsAgain(f1);
+		WorkerInfo f1 = this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
+		this.f.callWithPrompt("once", 3_000);
+		this.f.workers.reservations.get(0).listener().onHeld("h");
+		this.f.restart(f1);
 		Assertions.assertThat(this.f.workers.prefills.get(0).cancelled).isTrue();
 		this.f.workers.prefills.get(0).listener.onReady("kv-old");
-		Assertions.assertThat(this.f.workers.last().call.kvSource()).isNull();
-		Assertions.assertThat(this.f.workers.released).containsExactly("kv-old");
+		Assertions.assertThat(this.f.workers.lastRun().call.kvSource()).isNull();
+		Assertions.assertThat(this.f.workers.releasedHandles).containsExactly("kv-old");
 	}
 
 	// The decode worker starts again while the prompt is read elsewhere. The place that
 	// was reserved there went with its memory; another one is reserved.
 	@Test
 	void reservesAgainWhenTheDecodeWorkerHasStartedAgain() {
-		this.f.worker("f1", "llm", WorkerStage.PREFILL);
-		this.f.prompt("once", 3_000);
-		this.f.workers.holds.get(0).listener().onHeld("h");
-		this.f.startsAgain(this.f.workers.holds.get(0).worker());
+		this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
+		this.f.callWithPrompt("once", 3_000);
+		this.f.workers.reservations.get(0).listener().onHeld("h");
+		this.f.restart(this.f.workers.reservations.get(0).worker());
 		this.f.workers.prefills.get(0).listener.onReady("kv");
 		Assertions.assertThat(this.f.workers.runs).isEmpty();
-		Assertions.assertThat(this.f.workers.holds).hasSize(2);
+		Assertions.assertThat(this.f.workers.reservations).hasSize(2);
 	}
 
 	// A worker says that it leaves while the prompt is read elsewhere for a request that
 	// has a place there: the request would reach it after all VMs had to leave it alone.
 	@Test
 	void reservesAgainWhenTheDecodeWorkerLeavesMeanwhile() {
-		this.f.worker("f1", "llm", WorkerStage.PREFILL);
-		this.f.prompt("once", 3_000);
-		WorkerInfo first = this.f.workers.holds.get(0).worker();
-		this.f.workers.holds.get(0).listener().onHeld("h");
-		this.f.leaves(first);
-		this.f.worker("d9", "llm", WorkerStage.DECODE);
+		this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
+		this.f.callWithPrompt("once", 3_000);
+		WorkerInfo first = this.f.workers.reservations.get(0).worker();
+		this.f.workers.reservations.get(0).listener().onHeld("h");
+		this.f.drain(first);
+		this.f.addWorker("d9", "llm", WorkerStage.DECODE);
 		this.f.workers.prefills.get(0).listener.onReady("kv");
 		Assertions.assertThat(this.f.workers.runs).isEmpty();
-		Assertions.assertThat(this.f.workers.dropped).containsExactly("h");
-		Assertions.assertThat(this.f.workers.holds.get(1).worker().id()).isNotEqualTo(first.id());
+		Assertions.assertThat(this.f.workers.cancelledReservations).containsExactly("h");
+		Assertions.assertThat(this.f.workers.reservations.get(1).worker().id()).isNotEqualTo(first.id());
 	}
 
 	// The same for a worker whose entry is removed without a word.
 	@Test
 	void reservesAgainWhenTheEntryOfTheDecodeWorkerIsGoneMeanwhile() {
-		this.f.worker("f1", "llm", WorkerStage.PREFILL);
-		this.f.prompt("once", 3_000);
-		WorkerInfo first = this.f.workers.holds.get(0).worker();
-		this.f.workers.holds.get(0).listener().onHeld("h");
+		this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
+		this.f.callWithPrompt("once", 3_000);
+		WorkerInfo first = this.f.workers.reservations.get(0).worker();
+		this.f.workers.reservations.get(0).listener().onHeld("h");
 		this.f.gateway.roster().vanished(first.id(), this.f.timer.now());
-		this.f.worker("d9", "llm", WorkerStage.DECODE);
+		this.f.addWorker("d9", "llm", WorkerStage.DECODE);
 		this.f.workers.prefills.get(0).listener.onReady("kv");
 		Assertions.assertThat(this.f.workers.runs).isEmpty();
-		Assertions.assertThat(this.f.workers.holds.get(1).worker().id()).isNotEqualTo(first.id());
+		Assertions.assertThat(this.f.workers.reservations.get(1).worker().id()).isNotEqualTo(first.id());
 	}
 
 	// A place is granted by a worker that has said meanwhile that it leaves. A prompt
 	// read for it would be read in vain.
 	@Test
 	void readsNoPromptForAPlaceAtAWorkerThatLeaves() {
-		this.f.worker("f1", "llm", WorkerStage.PREFILL);
-		this.f.prompt("once", 3_000);
-		this.f.leaves(this.f.workers.holds.get(0).worker());
-		this.f.worker("d9", "llm", WorkerStage.DECODE);
-		this.f.workers.holds.get(0).listener().onHeld("h");
+		this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
+		this.f.callWithPrompt("once", 3_000);
+		this.f.drain(this.f.workers.reservations.get(0).worker());
+		this.f.addWorker("d9", "llm", WorkerStage.DECODE);
+		this.f.workers.reservations.get(0).listener().onHeld("h");
 		Assertions.assertThat(this.f.workers.prefills).isEmpty();
-		Assertions.assertThat(this.f.workers.holds).hasSize(2);
+		Assertions.assertThat(this.f.workers.reservations).hasSize(2);
 	}
 
 }
--- a/src/test/java/io/shallotspur/platform/AnswerDecoderTests.java
+++ b/src/test/java/io/shallotspur/platform/AnswerDecoderTests.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-import io.shallotspur.gateway.AnswerHead;
+import io.shallotspur.gateway.ResponseHead;
 import io.shallotspur.gateway.WorkerLimit;
 
 /**
@@ -19,46 +19,46 @@
 		return new DefaultHttpHeaders().add("X-Request-Id", "r1").add("X-Server-Stamp", "3e1b.07");
 	}
 
-	private static AnswerHead head(int status, HttpHeaders h) {
+	private static ResponseHead head(int status, HttpHeaders h) {
 		return AnswerDecoder.head("r1", status, h);
 	}
 
 	@Test
 	void readsTheLimitThatAWorkerNames() {
-		Assertions.assertThat(head(200, signed().add("Server-Limit", "3.9")).news().limit())
+		Assertions.assertThat(head(200, signed().add("Server-Limit", "3.9")).workerStatus().limit())
 			.isEqualTo(new WorkerLimit(3.9));
-		Assertions.assertThat(head(500, signed().add("Server-Limit", "0")).news().limit())
+		Assertions.assertThat(head(500, signed().add("Server-Limit", "0")).workerStatus().limit())
 			.isEqualTo(new WorkerLimit(0));
 	}
 
 	@Test
 	void aSuccessWithoutALimitEndsIt() {
-		Assertions.assertThat(head(200, signed()).news().limit()).isEqualTo(WorkerLimit.NONE);
+		Assertions.assertThat(head(200, signed()).workerStatus().limit()).isEqualTo(WorkerLimit.NONE);
 	}
 
 	// A worker in need refuses, and fails, without all of its usual fields; taken for the
 	// end of its limit, each failure would bring on more of what it fails at.
 	@Test
 	void aRefusalOrFailureWithoutALimitDoesNotEndIt() {
-		Assertions.assertThat(head(500, signed()).news().limit()).isNull();
+		Assertions.assertThat(head(500, signed()).workerStatus().limit()).isNull();
 		HttpHeaders h = new DefaultHttpHeaders().add("X-Request-Id", "r1").add("X-Not-Executed", "1");
-		Assertions.assertThat(head(503, h).news().limit()).isNull();
-		Assertions.assertThat(head(503, h.add("Server-Limit", "2.5")).news().limit()).isEqualTo(new WorkerLimit(2.5));
+		Assertions.assertThat(head(503, h).workerStatus().limit()).isNull();
+		Assertions.assertThat(head(503, h.add("Server-Limit", "2.5")).workerStatus().limit()).isEqualTo(new WorkerLimit(2.5));
 	}
 
 	// The answer of another worker at the address, or to an earlier request, would put a
 	// limit on a worker that names none, or end one that still holds.
 	@Test
 	void anAnswerOfAnotherWorkerOrRequestTellsNothing() {
-		Assertions.assertThat(head(421, signed().add("Server-Limit", "2.5")).news().limit()).isNull();
+		Assertions.assertThat(head(421, signed().add("Server-Limit", "2.5")).workerStatus().limit()).isNull();
 		HttpHeaders late = new DefaultHttpHeaders().add("X-Request-Id", "r0").add("Server-Limit", "2.5");
-		Assertions.assertThat(head(200, late).news().limit()).isNull();
+		Assertions.assertThat(head(200, late).workerStatus().limit()).isNull();
 	}
 
 	@ParameterizedTest
 	@ValueSource(strings = { "", "many", "-1", "NaN", "Infinity" })
 	void whatIsNoRateTellsNothing(String value) {
-		Assertions.assertThat(head(200, signed().add("Server-Limit", value)).news().limit()).isNull();
+		Assertions.assertThat(head(200, signed().add("Server-Limit", value)).workerStatus().limit()).isNull();
 	}
 
 }
--- a/src/test/java/io/shallotspur/platform/LoopTests.java
+++ b/src/test/java/io/shallotspur/platform/LoopTests.java
@@ -18,7 +18,7 @@
 	void serversClientsAndTimersShareOneThread() {
 		Loop loop = new Loop();
 		CompletableFuture<Thread> timer = new CompletableFuture<>();
-		loop.after(0, () -> timer.complete(Thread.currentThread()));
+		loop.schedule(0, () -> timer.complete(Thread.currentThread()));
 		Assertions.assertThat(threadOf(loop.resources().onServer(false))).isSameAs(timer.join());
 		Assertions.assertThat(threadOf(loop.resources().onClient(false))).isSameAs(timer.join());
 		loop.close();
--- a/src/test/java/io/shallotspur/registry/ConfigReaderTests.java
+++ b/src/test/java/io/shallotspur/registry/ConfigReaderTests.java
@@ -54,7 +54,7 @@
 
 	@Test
 	void bringsTheNewestConfigurationIntoForceBeforeItTells() {
-		this.reader.ask(() -> Assertions.assertThat(this.gateway.table().orElseThrow().version()).isEqualTo(4));
+		this.reader.ask(() -> Assertions.assertThat(this.gateway.routeTable().orElseThrow().version()).isEqualTo(4));
 		ask();
 		answer(4);
 		Assertions.assertThat(this.told).hasValue(1);
@@ -92,14 +92,14 @@
 		ask();
 		this.gateway.configure(new RouteTable(5, List.of(), List.of(), IngressLimits.DEFAULT));
 		answer(4);
-		Assertions.assertThat(this.gateway.table().orElseThrow().version()).isEqualTo(5);
+		Assertions.assertThat(this.gateway.routeTable().orElseThrow().version()).isEqualTo(5);
 	}
 
 	private boolean proves(long version) {
 		ask();
 		this.timer.advance(10);
 		answer(version);
-		return this.gateway.proofAgeMs() <= 10;
+		return this.gateway.configAgeMs() <= 10;
 	}
 
 	// The answer is of a copy that is older than what this VM knows. A key that was
--- a/src/test/java/io/shallotspur/registry/LeadershipTests.java
+++ b/src/test/java/io/shallotspur/registry/LeadershipTests.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 
 import io.shallotspur.gateway.EntryVm;
-import io.shallotspur.gateway.EntryVms;
+import io.shallotspur.gateway.EntryVmDirectory;
 import io.shallotspur.gateway.ManualTimer;
 import io.shallotspur.gateway.WorkerStage;
 
@@ -22,7 +22,7 @@
 
 	private final FakeRegistry registry = new FakeRegistry();
 
-	private final EntryVms vms = new EntryVms();
+	private final EntryVmDirectory vms = new EntryVmDirectory();
 
 	private final VmRegistration registration = new VmRegistration(this.registry,
 			new EntryVm(SELF, "10.0.0.2:80", "region-1", "hall-a", 1, false), this.timer);
@@ -32,7 +32,7 @@
 	@BeforeEach
 	void register() {
 		this.registration.start();
-		this.vms.seen(new EntryVm(SELF, "10.0.0.2:80", "region-1", "hall-a", 1, false));
+		this.vms.register(new EntryVm(SELF, "10.0.0.2:80", "region-1", "hall-a", 1, false));
 	}
 
 	private void ask(long afterMs) {
@@ -59,7 +59,7 @@
 	// would have a hundred calls to refuse.
 	@Test
 	void letsTheVmsBeforeItAskFirst() {
-		this.vms.seen(new EntryVm("vms/a", "10.0.0.1:80", "region-1", "hall-a", 1, false));
+		this.vms.register(new EntryVm("vms/a", "10.0.0.1:80", "region-1", "hall-a", 1, false));
 		ask(1_100);
 		Assertions.assertThat(this.registry.claimCalls).isZero();
 		ask(400);
