--- a/src/test/java/io/shallotspur/registry/RegistryWatcherTests.java
+++ b/src/test/java/io/shallotspur/registry/RegistryWatcherTests.java
@@ -70,7 +70,7 @@
 	@Test
 	void takesTheListingAndWatchesFromThere() {
 		follow(config(3), worker("w1"));
-		Assertions.assertThat(this.gateway.table().orElseThrow().version()).isEqualTo(3);
+		Assertions.assertThat(this.gateway.routeTable().orElseThrow().version()).isEqualTo(3);
 		Assertions.assertThat(workers()).isEqualTo(1);
 		Assertions.assertThat(this.registry.watchedAfter).containsExactly(10L);
 		Assertions.assertThat(this.follower.initialized()).isTrue();
@@ -107,7 +107,7 @@
 	// serve, nine in ten of the store's calls would be for nobody.
 	@Test
 	void gathersForLongerWhileItStandsBy() {
-		this.gateway.vms().own(vm("vms/weak", 1).vm());
+		this.gateway.entryVms().registerSelf(vm("vms/weak", 1).vm());
 		follow(vm("vms/strong-1", 2), vm("vms/strong-2", 2), vm("vms/weak", 1));
 		tell(11, worker("w1"));
 		this.timer.advance(950);
@@ -120,7 +120,7 @@
 	// and nobody waits for what it would hear.
 	@Test
 	void asksLessOftenWhileItStandsByAndTheStoreIsAway() {
-		this.gateway.vms().own(vm("vms/weak", 1).vm());
+		this.gateway.entryVms().registerSelf(vm("vms/weak", 1).vm());
 		follow(vm("vms/strong-1", 2), vm("vms/strong-2", 2), vm("vms/weak", 1));
 		for (int i = 0; i < 200; i++) {
 			lose();
@@ -156,7 +156,7 @@
 	// Requests reach a worker that has left, long after all VMs had to know it.
 	@Test
 	void aWorkerThatLeavesAfterTheStoreIsBackGetsNothingOnceItsTimeIsUp() {
-		this.gateway.vms().own(vm("vms/weak", 1).vm());
+		this.gateway.entryVms().registerSelf(vm("vms/weak", 1).vm());
 		follow(config(3), vm("vms/strong-1", 2), vm("vms/strong-2", 2), vm("vms/weak", 1), worker("w1"));
 		lose();
 		this.timer.advance(400);
@@ -190,7 +190,7 @@
 		follow(config(3), worker("w1"), worker("w2"));
 		this.registry.listings.add(new RegistryUpdate(new StorePosition(0, 30), List.of(config(4), worker("w2"))));
 		this.registry.pendingWatch.tryEmitError(new StoreHistoryGoneException("gone", "10"));
-		Assertions.assertThat(this.gateway.table().orElseThrow().version()).isEqualTo(4);
+		Assertions.assertThat(this.gateway.routeTable().orElseThrow().version()).isEqualTo(4);
 		Assertions.assertThat(workers()).isEqualTo(1);
 		Assertions.assertThat(this.registry.watchedAfter).endsWith(30L);
 	}
@@ -208,7 +208,7 @@
 		Assertions.assertThat(this.registry.watchedAfter).hasSize(2);
 		Assertions.assertThat(this.registry.lastWaitMs).isZero();
 		tell(12, config(4));
-		Assertions.assertThat(this.gateway.table().orElseThrow().version()).isEqualTo(4);
+		Assertions.assertThat(this.gateway.routeTable().orElseThrow().version()).isEqualTo(4);
 	}
 
 	// Each of many renewals that fail while nothing waits would begin a chain of calls of
@@ -232,7 +232,7 @@
 			this.timer.advance(500);
 			lose();
 		}
-		Assertions.assertThat(this.gateway.table()).isPresent();
+		Assertions.assertThat(this.gateway.routeTable()).isPresent();
 		Assertions.assertThat(workers()).isEqualTo(1);
 		Assertions.assertThat(this.registry.watchedAfter).hasSizeBetween(8, 21);
 	}
@@ -247,7 +247,7 @@
 				new RegistryChange.VmUpdated(new EntryVm("vms/me", "10.0.0.9:80", "region-1", "hall-a", 1, false)));
 		tell(11, new RegistryChange.VmRemoved("vms/me"));
 		Assertions.assertThat(gone).hasValue(1);
-		Assertions.assertThat(this.gateway.vms().count(this.timer.now())).isEqualTo(1);
+		Assertions.assertThat(this.gateway.entryVms().count(this.timer.now())).isEqualTo(1);
 	}
 
 	// The store goes silent and returns. A call that was to wait for seconds was lost
@@ -281,7 +281,7 @@
 		follow(config(3), new RegistryChange.EntryUnreadable("servers/w0", "w0", "The value is not JSON."), worker("w1"),
 				new RegistryChange.EntryUnreadable("op/config", null, "The value is not JSON."));
 		Assertions.assertThat(workers()).isEqualTo(1);
-		Assertions.assertThat(this.gateway.table()).isPresent();
+		Assertions.assertThat(this.gateway.routeTable()).isPresent();
 	}
 
 	// A connection to the store was reset and made again at once. Four seconds later
@@ -299,7 +299,7 @@
 		this.timer.advance(4_000);
 		tell(21, new RegistryChange.VmRemoved("vms/other"));
 		this.timer.advance(1_000);
-		Assertions.assertThat(this.gateway.vms().count(this.timer.now())).isZero();
+		Assertions.assertThat(this.gateway.entryVms().count(this.timer.now())).isZero();
 	}
 
 	private static RegistryChange leaving(String id) {
@@ -326,9 +326,9 @@
 		this.timer.advance(200);
 		restore(40, config(3), worker("w1"));
 		Assertions.assertThat(this.registry.watchedAfter).endsWith(40L);
-		Assertions.assertThat(this.gateway.table().orElseThrow().version()).isEqualTo(4);
+		Assertions.assertThat(this.gateway.routeTable().orElseThrow().version()).isEqualTo(4);
 		tell(41, config(5));
-		Assertions.assertThat(this.gateway.table().orElseThrow().version()).isEqualTo(5);
+		Assertions.assertThat(this.gateway.routeTable().orElseThrow().version()).isEqualTo(5);
 	}
 
 	// The copy shows a worker as it was before it said that it leaves. Requests would
@@ -455,9 +455,9 @@
 		this.registry.listings.add(new RegistryUpdate(new StorePosition(1, 9), List.of(config(4))));
 		this.registry.restore();
 		this.timer.advance(350);
-		Assertions.assertThat(this.gateway.table()).isEmpty();
+		Assertions.assertThat(this.gateway.routeTable()).isEmpty();
 		this.timer.advance(100);
-		Assertions.assertThat(this.gateway.table()).isPresent();
+		Assertions.assertThat(this.gateway.routeTable()).isPresent();
 		Assertions.assertThat(spread).containsExactly(400L);
 	}
 
--- a/src/test/java/io/shallotspur/registry/RevocationModelTests.java
+++ b/src/test/java/io/shallotspur/registry/RevocationModelTests.java
@@ -13,7 +13,7 @@
 import reactor.core.publisher.Sinks;
 
 import io.shallotspur.contract.BearerKey;
-import io.shallotspur.gateway.CallerAnswer;
+import io.shallotspur.gateway.CallerResponse;
 import io.shallotspur.gateway.DecisionLog;
 import io.shallotspur.gateway.Exchange;
 import io.shallotspur.gateway.ExchangeListener;
@@ -170,7 +170,7 @@
 					new GatewayPorts(this, this.timer, this.timer::now, this::timeOfDay, () -> 0.5, new DecisionLog(0),
 							new RelayMetrics(new MetricRegistry())));
 			ConfigReader reader = new ConfigReader(this.registry, this.gateway);
-			this.gateway.configSource(reader);
+			this.gateway.setConfigSource(reader);
 			this.registry.setRestoreListener((e) -> reader.onStoreRestored(OLD_MS));
 			this.gateway.configure(table());
 			this.gateway.roster()
@@ -273,10 +273,10 @@
 	/**
 	 * A caller that does not look at its answer.
 	 */
-	private static final class NopAnswer implements CallerAnswer {
+	private static final class NopAnswer implements CallerResponse {
 
 		@Override
-		public void whole(int status, List<HeaderField> headers, byte[] body) {
+		public void send(int status, List<HeaderField> headers, byte[] body) {
 		}
 
 		@Override
@@ -284,7 +284,7 @@
 		}
 
 		@Override
-		public void begin(int status, List<HeaderField> headers) {
+		public void start(int status, List<HeaderField> headers) {
 		}
 
 		@Override
@@ -292,11 +292,11 @@
 		}
 
 		@Override
-		public void end() {
+		public void complete() {
 		}
 
 		@Override
-		public void breakOff() {
+		public void abort() {
 		}
 
 	}
--- a/src/test/java/io/shallotspur/registry/SharedEngineStatsTests.java
+++ b/src/test/java/io/shallotspur/registry/SharedEngineStatsTests.java
@@ -154,7 +154,7 @@
 		}
 
 		private EngineTimes times() {
-			return this.gateway.times("llm");
+			return this.gateway.engineTimes("llm");
 		}
 
 	}
--- a/src/test/java/io/shallotspur/registry/SimulatedStore.java
+++ b/src/test/java/io/shallotspur/registry/SimulatedStore.java
@@ -96,12 +96,12 @@
 		this.cut = yes;
 		Watch w = this.watch;
 		if (yes && w != null) {
-			this.timer.after(PROBED_MS, () -> probed(w));
+			this.timer.schedule(PROBED_MS, () -> probed(w));
 		}
 		if (!yes) {
 			List<Runnable> l = List.copyOf(this.heldUp);
 			this.heldUp.clear();
-			l.forEach((r) -> this.timer.after(SENT_AGAIN_MS, r));
+			l.forEach((r) -> this.timer.schedule(SENT_AGAIN_MS, r));
 			serveWatch();
 		}
 	}
@@ -153,7 +153,7 @@
 	private void sent(MonoSink<?> sink, long timeoutMs, Runnable arrives) {
 		AtomicBoolean over = new AtomicBoolean();
 		sink.onDispose(() -> over.set(true));
-		this.timer.after(timeoutMs, () -> {
+		this.timer.schedule(timeoutMs, () -> {
 			if (!over.get()) {
 				sink.error(unavailable());
 			}
@@ -167,7 +167,7 @@
 			this.heldUp.add(r);
 		}
 		else {
-			this.timer.after(ANSWER_MS, r);
+			this.timer.schedule(ANSWER_MS, r);
 		}
 	}
 
@@ -192,7 +192,7 @@
 		this.watch = w;
 		serveWatch();
 		if (this.watch == w) {
-			this.timer.after(waitMs, () -> {
+			this.timer.schedule(waitMs, () -> {
 				if (this.watch == w) {
 					serve(w, List.of());
 				}
--- a/src/test/java/io/shallotspur/registry/WorkerDrainModelTests.java
+++ b/src/test/java/io/shallotspur/registry/WorkerDrainModelTests.java
@@ -164,7 +164,7 @@
 				this.store.put(vm,
 						new RegistryChange.VmUpdated(new EntryVm(vm, vm + ":80", "region-1", "hall-a", cores, false)));
 			}
-			this.gateway.vms().own(new EntryVm("vms/own", "vms/own:80", "region-1", "hall-a", standsBy ? 1 : 2, false));
+			this.gateway.entryVms().registerSelf(new EntryVm("vms/own", "vms/own:80", "region-1", "hall-a", standsBy ? 1 : 2, false));
 			this.store.put("servers/stayer", worker("stayer", false));
 			this.store.put("servers/leaver", worker("leaver", false));
 			this.store.put("eras/settled", new RegistryChange.EraSettled(1));
@@ -176,7 +176,7 @@
 		}
 
 		private void renew() {
-			this.timer.after(1_000, () -> {
+			this.timer.schedule(1_000, () -> {
 				this.store.renewLease(1).subscribe((there) -> {
 				}, (ex) -> this.follower.onCallUnanswered());
 				renew();
@@ -235,7 +235,7 @@
 			this.store.remove("servers/leaver", new RegistryChange.WorkerRemoved("leaver"));
 			disturbed(500);
 			this.store.away(false);
-			this.timer.after(900, this::writeAgain);
+			this.timer.schedule(900, this::writeAgain);
 		}
 
 		private void writeAgain() {
@@ -255,7 +255,7 @@
 			this.store.away(true);
 			disturbed(200);
 			this.store.restore(c);
-			this.timer.after(1_500, this::writeAgain);
+			this.timer.schedule(1_500, this::writeAgain);
 		}
 
 		private void disturbed(long ms) {
@@ -284,7 +284,7 @@
 			long now = this.timer.now();
 			List<String> used = this.gateway.roster().staying("up", now).stream().map(WorkerInfo::id).toList();
 			this.givenUpMs = used.contains("stayer") ? 0 : this.givenUpMs + LOOK_MS;
-			if (!this.wasCutOff && this.gateway.table().isPresent() && this.givenUpMs > this.mayGiveUpMs) {
+			if (!this.wasCutOff && this.gateway.routeTable().isPresent() && this.givenUpMs > this.mayGiveUpMs) {
 				this.faults.add("gave up the worker that stays at " + now);
 			}
 			if (this.leftInCalm && calm() && now > this.leftAt + LEAVES_MS) {
--- a/src/test/java/io/shallotspur/stage/StageKeeperTests.java
+++ b/src/test/java/io/shallotspur/stage/StageKeeperTests.java
@@ -68,7 +68,7 @@
 		heard(12);
 		EntryVm self = new EntryVm(SELF, "10.0.0.9:80", "region-1", "hall-a", 1, false);
 		VmRegistration registration = new VmRegistration(this.registry, self, this.timer);
-		Leadership duty = new Leadership(this.registry, registration, this.gateway.vms(), SELF, 3_000, this.timer::now);
+		Leadership duty = new Leadership(this.registry, registration, this.gateway.entryVms(), SELF, 3_000, this.timer::now);
 		StageKeeper keeper = new StageKeeper("vm-1", this.gateway, duty, this.port, this.timer, this.timer::now,
 				BOUNDS.propagationMs());
 		this.registry.leader = new RegistryChange.LeaderElected(SELF, new StorePosition(0, FENCE));
@@ -82,7 +82,7 @@
 	}
 
 	private void heard(int samples) {
-		this.gateway.times("llm")
+		this.gateway.engineTimes("llm")
 			.heard(new EngineFigures(samples, 3_200, 500, 4_000, 0.0323, 0.0323, 7, LengthModel.BELIEVED));
 	}
 
