--- a/src/main/java/io/shallotspur/gateway/Attempt.java
+++ b/src/main/java/io/shallotspur/gateway/Attempt.java
@@ -87,13 +87,13 @@
 		this.head = h;
 		this.listener.onHead(h);
 		if (h.authenticity() == ResponseAuthenticity.MISMATCHED) {
-			fail(AttemptEnd.UNKNOWN, "foreign answer");
+			fail(AttemptOutcome.UNKNOWN, "foreign answer");
 		}
 		else if (h.notRun()) {
-			fail(AttemptEnd.NOT_RUN, "status " + h.status());
+			fail(AttemptOutcome.NOT_RUN, "status " + h.status());
 		}
 		else if (h.isSuccess() && h.authenticity() != ResponseAuthenticity.SIGNED) {
-			fail(AttemptEnd.UNKNOWN, "unsigned success");
+			fail(AttemptOutcome.UNKNOWN, "unsigned success");
 		}
 	}
 
@@ -117,7 +117,7 @@
 			this.listener.onEvent(event);
 		}
 		if (this.events.exceedsMaxSize()) {
-			fail(AttemptEnd.UNKNOWN, "event too long");
+			fail(AttemptOutcome.UNKNOWN, "event too long");
 		}
 	}
 
@@ -148,14 +148,14 @@
 			return;
 		}
 		if (this.events.hasPartialEvent()) {
-			fail(AttemptEnd.UNKNOWN, "ended within an event");
+			fail(AttemptOutcome.UNKNOWN, "ended within an event");
 		}
 		else if (!h.isSuccess() && (h.authenticity() != ResponseAuthenticity.SIGNED || this.resumed)) {
-			fail(AttemptEnd.UNKNOWN, "status " + h.status());
+			fail(AttemptOutcome.UNKNOWN, "status " + h.status());
 		}
 		else if (!h.isSuccess()) {
 			finish();
-			this.listener.onFailure(AttemptEnd.FAILED, "status " + h.status(), h, this.buffer.toByteArray());
+			this.listener.onFailure(AttemptOutcome.FAILED, "status " + h.status(), h, this.buffer.toByteArray());
 		}
 		else {
 			finish();
@@ -166,7 +166,7 @@
 	@Override
 	public void onFailure(ExchangeFailure f) {
 		if (!this.done) {
-			fail(f.sent() ? AttemptEnd.UNKNOWN : AttemptEnd.NOT_SENT, f.reason());
+			fail(f.sent() ? AttemptOutcome.UNKNOWN : AttemptOutcome.NOT_SENT, f.reason());
 		}
 	}
 
@@ -175,7 +175,7 @@
 		this.worker.forget(this.onWorkerRestart);
 	}
 
-	private void fail(AttemptEnd end, String reason) {
+	private void fail(AttemptOutcome end, String reason) {
 		cancel();
 		this.listener.onFailure(end, reason, null, new byte[0]);
 	}
@@ -201,7 +201,7 @@
 		void onSuccess(ResponseHead head, byte[] body, boolean begun);
 
 		// No success; head and body are those of the worker's own failure, if any.
-		void onFailure(AttemptEnd end, String reason, @Nullable ResponseHead head, byte[] body);
+		void onFailure(AttemptOutcome end, String reason, @Nullable ResponseHead head, byte[] body);
 
 	}
 
--- a/src/main/java/io/shallotspur/gateway/AttemptHistory.java
+++ b/src/main/java/io/shallotspur/gateway/AttemptHistory.java
@@ -6,22 +6,22 @@
  * Invariant: {@code mayHaveRun} never becomes {@code false} again, so that no later
  * attempt can turn an unknown outcome into a promise that nothing ran.
  *
- * @param sends attempts that left this VM
+ * @param sentCount attempts that left this VM
  * @param mayHaveRun whether any of them may have run
  */
-public record AttemptHistory(int sends, boolean mayHaveRun) {
+public record AttemptHistory(int sentCount, boolean mayHaveRun) {
 
 	/** Before the first attempt. */
 	public static final AttemptHistory NONE = new AttemptHistory(0, false);
 
 	/**
 	 * Adds an attempt that has ended.
-	 * @param end how it ended
+	 * @param outcome how it ended
 	 * @return the history with it
 	 */
-	public AttemptHistory with(AttemptEnd end) {
-		int n = (end == AttemptEnd.NOT_SENT) ? this.sends : this.sends + 1;
-		return new AttemptHistory(n, this.mayHaveRun || end.mayHaveRun());
+	public AttemptHistory with(AttemptOutcome outcome) {
+		int newSentCount = (outcome == AttemptOutcome.NOT_SENT) ? this.sentCount : this.sentCount + 1;
+		return new AttemptHistory(newSentCount, this.mayHaveRun || outcome.mayHaveRun());
 	}
 
 	/**
@@ -30,26 +30,26 @@
 	 * @param repeatable whether a second run does no harm
 	 * @return {@code true} if the request may be sent once more
 	 */
-	public boolean allowsAnother(int maxAttempts, boolean repeatable) {
-		return this.sends < maxAttempts && (repeatable || !this.mayHaveRun);
+	public boolean allowsAnotherAttempt(int maxAttempts, boolean repeatable) {
+		return this.sentCount < maxAttempts && (repeatable || !this.mayHaveRun);
 	}
 
 	/**
 	 * Decides what follows. A total function: each history and end has exactly one next
 	 * step, and {@link NextStep#REFUSE_NOT_RUN} is never one after an attempt that may
 	 * have run. Were it, a caller who trusts the promise would send a renewal twice.
-	 * @param end how the newest attempt, already part of this history, ended
+	 * @param outcome how the newest attempt, already part of this history, ended
 	 * @param mayRetry whether terms, budget, time and workers allow another attempt
 	 * @return the next step
 	 */
-	public NextStep next(AttemptEnd end, boolean mayRetry) {
+	public NextStep nextStep(AttemptOutcome outcome, boolean mayRetry) {
 		if (mayRetry) {
 			return NextStep.RETRY;
 		}
 		if (!this.mayHaveRun) {
 			return NextStep.REFUSE_NOT_RUN;
 		}
-		return (end == AttemptEnd.FAILED) ? NextStep.RELAY_FAILURE : NextStep.REPORT_UNKNOWN;
+		return (outcome == AttemptOutcome.FAILED) ? NextStep.RELAY_FAILURE : NextStep.REPORT_UNKNOWN;
 	}
 
 }
--- a/src/main/java/io/shallotspur/gateway/AttemptEnd.java
+++ b/src/main/java/io/shallotspur/gateway/AttemptOutcome.java
@@ -3,7 +3,7 @@
 /**
  * What is known when one attempt at a worker has ended without success.
  */
-public enum AttemptEnd {
+public enum AttemptOutcome {
 
 	/**
 	 * Nothing left this VM: the connection could not be made.
@@ -28,7 +28,7 @@
 
 	private final boolean mayHaveRun;
 
-	AttemptEnd(boolean mayHaveRun) {
+	AttemptOutcome(boolean mayHaveRun) {
 		this.mayHaveRun = mayHaveRun;
 	}
 
--- a/src/main/java/io/shallotspur/gateway/Candidates.java
+++ b/src/main/java/io/shallotspur/gateway/Candidates.java
@@ -48,7 +48,7 @@
 	 * @return the workers
 	 */
 	List<WorkerState> admitting(WorkerStage stage, Set<String> tried, long now) {
-		int connections = ConnectionPart.of(this.connectionLimit, this.g.entryVms, now);
+		int connections = ConnectionShare.of(this.connectionLimit, this.g.entryVms, now);
 		return all(stage, tried, now).stream()
 			.filter((w) -> w.running() < connections && this.g.workerLimits.admits(w, now))
 			.toList();
--- a/src/main/java/io/shallotspur/gateway/ConfigProof.java
+++ b/src/main/java/io/shallotspur/gateway/ConfigFreshness.java
@@ -8,34 +8,34 @@
  * configuration, since the operator may publish another one while the answer is on its
  * way; it never shrinks without a new answer.
  */
-final class ConfigProof {
+final class ConfigFreshness {
 
 	// The part of the bound after which the store is asked anew while callers come. A VM
 	// whose path to the store is lost right then can still serve for the rest of it, in
 	// which most cuts end or its callers have gone to other VMs.
-	private static final double RENEW_SHARE = 0.25;
+	private static final double REFRESH_SHARE = 0.25;
 
 	// Longer ago than any bound, and far enough from the least number to be subtracted.
 	private static final long NEVER = Long.MIN_VALUE / 2;
 
-	private final long revokedMs;
+	private final long revocationBoundMs;
 
-	private long askedAt = NEVER;
+	private long confirmedAt = NEVER;
 
-	ConfigProof(long revokedMs) {
-		this.revokedMs = revokedMs;
+	ConfigFreshness(long revocationBoundMs) {
+		this.revocationBoundMs = revocationBoundMs;
 	}
 
-	void proved(long askedMs) {
-		this.askedAt = Math.max(this.askedAt, askedMs);
+	void confirm(long requestedAt) {
+		this.confirmedAt = Math.max(this.confirmedAt, requestedAt);
 	}
 
 	long ageMs(long now) {
-		return now - this.askedAt;
+		return now - this.confirmedAt;
 	}
 
-	boolean worthRenewing(long now) {
-		return this.revokedMs > 0 && ageMs(now) > RENEW_SHARE * this.revokedMs;
+	boolean shouldRefresh(long now) {
+		return this.revocationBoundMs > 0 && ageMs(now) > REFRESH_SHARE * this.revocationBoundMs;
 	}
 
 }
--- a/src/main/java/io/shallotspur/gateway/ConfigSource.java
+++ b/src/main/java/io/shallotspur/gateway/ConfigSource.java
@@ -10,8 +10,8 @@
 	/**
 	 * Asks. An answer is given to {@link Gateway#configure} and {@link Gateway#configConfirmed}
 	 * before the task runs.
-	 * @param then run once, when the store has answered or cannot be reached
+	 * @param onComplete run once, when the store has answered or cannot be reached
 	 */
-	void ask(Runnable then);
+	void refresh(Runnable onComplete);
 
 }
--- a/src/main/java/io/shallotspur/gateway/ConnectionPart.java
+++ b/src/main/java/io/shallotspur/gateway/ConnectionShare.java
@@ -8,13 +8,13 @@
  * request on a connection that is reset may have run, so its caller is told of an unknown
  * outcome and not that it may come back.
  */
-final class ConnectionPart {
+final class ConnectionShare {
 
 	// The part for the VMs that callers are told to use. The rest is for callers who come
 	// to others, for a set that has just changed, and for calls that are no requests.
-	private static final double SERVING_PART = 0.75;
+	private static final double SERVING_SHARE = 0.75;
 
-	private ConnectionPart() {
+	private ConnectionShare() {
 	}
 
 	/**
@@ -27,9 +27,9 @@
 	static int of(int limit, EntryVmDirectory vms, long now) {
 		int serving = vms.servingCountAllRegions(now);
 		if (vms.servingIndex(now) >= 0) {
-			return Math.max(1, (int) (SERVING_PART * limit / serving));
+			return Math.max(1, (int) (SERVING_SHARE * limit / serving));
 		}
-		return Math.max(1, (int) ((1 - SERVING_PART) * limit / Math.max(1, vms.count(now) - serving)));
+		return Math.max(1, (int) ((1 - SERVING_SHARE) * limit / Math.max(1, vms.count(now) - serving)));
 	}
 
 }
--- a/src/main/java/io/shallotspur/gateway/DecayedRatio.java
+++ b/src/main/java/io/shallotspur/gateway/DecayedRatio.java
@@ -8,9 +8,9 @@
 
 	private final double decay;
 
-	private double above;
+	private double numeratorSum;
 
-	private double below;
+	private double denominatorSum;
 
 	/**
 	 * Creates a ratio of nothing.
@@ -22,12 +22,12 @@
 	}
 
 	void add(double numerator, double denominator) {
-		this.above = this.decay * this.above + numerator;
-		this.below = this.decay * this.below + denominator;
+		this.numeratorSum = this.decay * this.numeratorSum + numerator;
+		this.denominatorSum = this.decay * this.denominatorSum + denominator;
 	}
 
-	boolean isKnown() {
-		return this.below > 0;
+	boolean hasObservations() {
+		return this.denominatorSum > 0;
 	}
 
 	/**
@@ -35,7 +35,7 @@
 	 * @return the ratio; 0 if nothing was observed
 	 */
 	double value() {
-		return isKnown() ? this.above / this.below : 0;
+		return hasObservations() ? this.numeratorSum / this.denominatorSum : 0;
 	}
 
 }
--- a/src/main/java/io/shallotspur/gateway/EngineTimes.java
+++ b/src/main/java/io/shallotspur/gateway/EngineTimes.java
@@ -182,7 +182,7 @@
 
 	// For each token that was expected, ms.
 	private double answerTokenMs() {
-		boolean ended = this.answered >= LEAST_ANSWERS || !this.events.isKnown();
+		boolean ended = this.answered >= LEAST_ANSWERS || !this.events.hasObservations();
 		return ended ? this.answers.value() : this.events.value();
 	}
 
--- a/src/main/java/io/shallotspur/gateway/Gateway.java
+++ b/src/main/java/io/shallotspur/gateway/Gateway.java
@@ -32,7 +32,7 @@
 
 	private final LongSupplier wallClock;
 
-	private final ElapsedTime elapsed = new ElapsedTime();
+	private final SuspendAwareClock elapsed = new SuspendAwareClock();
 
 	private Runnable cancelClockSampling = () -> {
 	};
@@ -49,13 +49,13 @@
 
 	final RequestAgeEstimator requestAges = new RequestAgeEstimator();
 
-	final RetryAllowance retryBudget;
+	final UpstreamRetryBudget retryBudget;
 
-	final WorkerLimits workerLimits;
+	final RateLimitEnforcer workerLimits;
 
-	final QuotaBook quotas;
+	final QuotaLimiter quotas;
 
-	private final ConfigProof configFreshness;
+	private final ConfigFreshness configFreshness;
 
 	private ConfigSource configSource = Runnable::run;
 
@@ -86,10 +86,10 @@
 		this.random = ports.random()::getAsDouble;
 		this.log = ports.log();
 		this.metrics = ports.metrics();
-		this.retryBudget = new RetryAllowance(settings);
-		this.workerLimits = new WorkerLimits(this.entryVms, this.random.next());
-		this.quotas = new QuotaBook(settings.quotas(), this.clock.getAsLong());
-		this.configFreshness = new ConfigProof(settings.revokedKeyMs());
+		this.retryBudget = new UpstreamRetryBudget(settings);
+		this.workerLimits = new RateLimitEnforcer(this.entryVms, this.random.next());
+		this.quotas = new QuotaLimiter(settings.quotas(), this.clock.getAsLong());
+		this.configFreshness = new ConfigFreshness(settings.revokedKeyMs());
 	}
 
 	/**
@@ -161,7 +161,7 @@
 		PromptShape p = r.prompt();
 		if (p != null) {
 			long answer = engineTimes(route.chooseUpstream(0)).answerMs(p.likelyOutputTokens());
-			most = Math.min(most, route.targetMs() + (long) (RetryAdvice.ANSWER_MARGIN * answer));
+			most = Math.min(most, route.targetMs() + (long) (RetryAfter.ANSWER_MARGIN * answer));
 		}
 		return now + most > this.shutdownAt;
 	}
@@ -204,7 +204,7 @@
 	 * @return milliseconds since some moment
 	 */
 	public long elapsedMs() {
-		return this.elapsed.at(this.clock.getAsLong(), this.wallClock.getAsLong());
+		return this.elapsed.elapsedMs(this.clock.getAsLong(), this.wallClock.getAsLong());
 	}
 
 	/**
@@ -228,7 +228,7 @@
 	 * @param requestedAtMs when the question was sent that showed so, by {@link #elapsedMs}
 	 */
 	public void configConfirmed(long requestedAtMs) {
-		this.configFreshness.proved(requestedAtMs);
+		this.configFreshness.confirm(requestedAtMs);
 	}
 
 	/**
@@ -240,12 +240,12 @@
 	}
 
 	void refreshConfig(Runnable then) {
-		this.configSource.ask(then);
+		this.configSource.refresh(then);
 	}
 
 	// Callers come with keys: what proves them is renewed before it is too old.
 	void refreshConfigIfStale() {
-		if (this.configFreshness.worthRenewing(elapsedMs())) {
+		if (this.configFreshness.shouldRefresh(elapsedMs())) {
 			refreshConfig(() -> {
 			});
 		}
@@ -269,8 +269,8 @@
 		if (news.limit() == null) {
 			return;
 		}
-		NamedLimit.Sent before = w.limit().sentSince(now);
-		if (w.limit().told(news.limit(), sentAt, now)) {
+		WorkerRateLimiter.SendCount before = w.limit().sentSinceChange(now);
+		if (w.limit().update(news.limit(), sentAt, now)) {
 			this.metrics.limitChanged();
 			this.log.write(now,
 					() -> "worker=" + w.info().id() + " limit-per-s=" + w.limit().limit() + " before: " + before);
@@ -279,8 +279,8 @@
 
 	// A caller's request, or the prefill of its prompt, goes to a worker.
 	void recordSent(WorkerState w, long now) {
-		this.workerLimits.sent(w, now);
-		if (w.limit().limit().named()) {
+		this.workerLimits.recordSent(w, now);
+		if (w.limit().limit().isLimited()) {
 			this.metrics.sentToLimited();
 		}
 	}
--- a/src/main/java/io/shallotspur/gateway/GatewaySettings.java
+++ b/src/main/java/io/shallotspur/gateway/GatewaySettings.java
@@ -14,7 +14,7 @@
  * @param quotas how exactly customers' quotas have to be kept
  */
 public record GatewaySettings(String vmName, String hall, double retryRatio, double retrySlack, long retryWindowMs,
-		long revokedKeyMs, QuotaBounds quotas) {
+		long revokedKeyMs, QuotaTolerance quotas) {
 
 	/**
 	 * Creates settings without a bound for revoked keys.
@@ -25,7 +25,7 @@
 	 * @param retryWindowMs the window, in milliseconds
 	 */
 	public GatewaySettings(String vm, String hall, double retryRatio, double retrySlack, long retryWindowMs) {
-		this(vm, hall, retryRatio, retrySlack, retryWindowMs, 0, QuotaBounds.EXACT);
+		this(vm, hall, retryRatio, retrySlack, retryWindowMs, 0, QuotaTolerance.EXACT);
 	}
 
 	/**
@@ -43,7 +43,7 @@
 	 * @param bounds how exactly customers' quotas have to be kept
 	 * @return settings that differ in that only
 	 */
-	public GatewaySettings withQuotas(QuotaBounds bounds) {
+	public GatewaySettings withQuotas(QuotaTolerance bounds) {
 		return new GatewaySettings(this.vmName, this.hall, this.retryRatio, this.retrySlack, this.retryWindowMs,
 				this.revokedKeyMs, bounds);
 	}
--- a/src/main/java/io/shallotspur/gateway/HoldQueue.java
+++ b/src/main/java/io/shallotspur/gateway/HoldQueue.java
@@ -142,7 +142,7 @@
 	 * @param now the present time in milliseconds
 	 */
 	void freed(String worker, long now) {
-		this.refused.freed(worker, now + latePauseMs(now), now);
+		this.refused.recordFreedSlot(worker, now + latePauseMs(now), now);
 		this.nextAskAt = now;
 		pump(now);
 	}
@@ -265,7 +265,7 @@
 		}
 		else {
 			this.refusals++;
-			w.limit().unreserve();
+			w.limit().releaseReservation();
 			full(w, tokens, failure, now);
 			if (!t.over) {
 				this.queue.add(t);
@@ -276,7 +276,7 @@
 
 	private void held(Ticket t, WorkerState w, String hold, long now) {
 		if (t.over) {
-			w.limit().unreserve();
+			w.limit().releaseReservation();
 			this.g.workerPort.cancelReservation(w.info(), hold);
 			return;
 		}
@@ -286,7 +286,7 @@
 
 	private void full(WorkerState w, int tokens, @Nullable ExchangeFailure failure, long now) {
 		long pause = (long) (FULL_MS * (0.75 + this.g.random.next() / 2));
-		this.refused.refused(w.info().id(), tokens, now + pause, now + pause + latePauseMs(now), now);
+		this.refused.recordRefusal(w.info().id(), tokens, now + pause, now + pause + latePauseMs(now), now);
 		if (failure != null) {
 			this.g.roster.detector(this.upstream).failed(w.info().id(), now);
 			w.outcome(true);
@@ -304,7 +304,7 @@
 		if (this.queue.isEmpty()) {
 			return;
 		}
-		long at = this.refused.nextEnd(now, now + FULL_MS);
+		long at = this.refused.nextRetryAt(now, now + FULL_MS);
 		for (Ticket t : this.queue) {
 			at = Math.min(at, t.waiting.waitUntil());
 		}
--- a/src/main/java/io/shallotspur/gateway/KeyCheck.java
+++ b/src/main/java/io/shallotspur/gateway/KeyCheck.java
@@ -21,40 +21,40 @@
 
 	// Kept from the operator's bound, ms: clocks of both kinds tick in milliseconds and
 	// are read some lines apart.
-	private static final long MARGIN_MS = 250;
+	private static final long CLOCK_MARGIN_MS = 250;
 
 	// A key that is not known is denied by a configuration that was the newest one so
 	// lately, ms. A customer's new key may have been published a moment ago.
-	private static final long DENIAL_MS = 1_000;
+	private static final long MAX_AGE_FOR_DENIAL_MS = 1_000;
 
 	private KeyCheck() {
 	}
 
 	/**
 	 * Decides.
-	 * @param t the configuration in force
-	 * @param r the route of the request
+	 * @param table the configuration in force
+	 * @param route the route of the request
 	 * @param keyHash the hash of the caller's key, or {@code null} if it sent none
-	 * @param proofMs how long ago the configuration surely was the newest one, in
+	 * @param configAgeMs how long ago the configuration surely was the newest one, in
 	 * milliseconds
-	 * @param revokedMs how long a revoked key may still be used, in milliseconds; 0 for
+	 * @param revocationBoundMs how long a revoked key may still be used, in milliseconds; 0 for
 	 * no bound
 	 * @return what to do
 	 */
-	static Verdict of(RouteTable t, Route r, @Nullable String keyHash, long proofMs, long revokedMs) {
-		if (!t.asksForKeys()) {
-			return Verdict.admitted(null);
+	static Decision evaluate(RouteTable table, Route route, @Nullable String keyHash, long configAgeMs, long revocationBoundMs) {
+		if (!table.asksForKeys()) {
+			return Decision.admitted(null);
 		}
-		Optional<Customer> c = (keyHash != null) ? t.customer(keyHash) : Optional.empty();
-		if (r.anonymous()) {
-			return Verdict.admitted(c.orElse(null));
+		Optional<Customer> customer = (keyHash != null) ? table.customer(keyHash) : Optional.empty();
+		if (route.anonymous()) {
+			return Decision.admitted(customer.orElse(null));
 		}
-		if (c.isPresent()) {
-			boolean proved = revokedMs == 0 || proofMs <= revokedMs - MARGIN_MS;
-			return proved ? Verdict.admitted(c.get()) : Verdict.UNPROVEN;
+		if (customer.isPresent()) {
+			boolean fresh = revocationBoundMs == 0 || configAgeMs <= revocationBoundMs - CLOCK_MARGIN_MS;
+			return fresh ? Decision.admitted(customer.get()) : Decision.REVALIDATE;
 		}
 		// No configuration admits a caller without a key.
-		return (keyHash == null || proofMs <= DENIAL_MS) ? Verdict.DENIED : Verdict.UNPROVEN;
+		return (keyHash == null || configAgeMs <= MAX_AGE_FOR_DENIAL_MS) ? Decision.DENIED : Decision.REVALIDATE;
 	}
 
 	/**
@@ -63,14 +63,14 @@
 	 * @param action what to do
 	 * @param customer whose request it is, if it is admitted and belongs to one
 	 */
-	record Verdict(Action action, @Nullable Customer customer) {
+	record Decision(Action action, @Nullable Customer customer) {
 
-		static final Verdict DENIED = new Verdict(Action.DENY, null);
+		static final Decision DENIED = new Decision(Action.DENY, null);
 
-		static final Verdict UNPROVEN = new Verdict(Action.PROVE, null);
+		static final Decision REVALIDATE = new Decision(Action.REVALIDATE, null);
 
-		static Verdict admitted(@Nullable Customer customer) {
-			return new Verdict(Action.ADMIT, customer);
+		static Decision admitted(@Nullable Customer customer) {
+			return new Decision(Action.ADMIT, customer);
 		}
 
 	}
@@ -87,7 +87,7 @@
 		DENY,
 
 		/** Ask the store first whether a newer configuration says otherwise. */
-		PROVE
+		REVALIDATE
 
 	}
 
--- a/src/main/java/io/shallotspur/gateway/Placing.java
+++ b/src/main/java/io/shallotspur/gateway/Placing.java
@@ -85,7 +85,7 @@
 
 	private @Nullable String hold;
 
-	private @Nullable LimitWait limitWait;
+	private @Nullable RateLimitWait limitWait;
 
 	private @Nullable KvSource source;
 
@@ -156,28 +156,28 @@
 
 	private void waitForLimit(WorkerState w, long now) {
 		this.g.metrics.waitedForLimit();
-		this.limitWait = new LimitWait(this.g, w, new LimitWait.Then() {
+		this.limitWait = new RateLimitWait(this.g, w, new RateLimitWait.Listener() {
 
 			@Override
-			public long waitUntil() {
+			public long waitDeadline() {
 				return Placing.this.waitUntil();
 			}
 
 			@Override
-			public void maySend(WorkerState worker, long at) {
+			public void onReady(WorkerState worker, long at) {
 				Placing.this.limitWait = null;
 				Placing.this.heldAt = at;
 				prefillOrGo(worker, at);
 			}
 
 			@Override
-			public void workerGone(long at) {
+			public void onWorkerGone(long at) {
 				Placing.this.limitWait = null;
 				start(at);
 			}
 
 			@Override
-			public void tooLate(long at) {
+			public void onTooLate(long at) {
 				Placing.this.limitWait = null;
 				Placing.this.sink.nowhere(RefusalReason.WORKERS_LIMITED, at);
 			}
@@ -343,7 +343,7 @@
 			return;
 		}
 		if (this.hold != null) {
-			w.limit().unreserve();
+			w.limit().releaseReservation();
 		}
 		this.tried.add(w.info().id());
 		WorkerCall call = new WorkerCall(this.request, w.info(), Math.max(1, this.answerBy - now), priority(), null,
@@ -397,7 +397,7 @@
 			this.limitWait = null;
 		}
 		if (this.hold != null && this.target != null) {
-			this.target.limit().unreserve();
+			this.target.limit().releaseReservation();
 			this.g.workerPort.cancelReservation(this.target.info(), this.hold);
 			this.hold = null;
 		}
--- a/src/main/java/io/shallotspur/gateway/QuotaBook.java
+++ b/src/main/java/io/shallotspur/gateway/QuotaLimiter.java
@@ -26,31 +26,31 @@
  * any window all VMs together let through no more than the rate, one burst, half of what
  * is tolerated, a request for each VM, and half a second's rate for each start.
  */
-final class QuotaBook {
+final class QuotaLimiter {
 
 	private static final double MS_PER_S = 1_000;
 
 	// The other half is for requests that leave a debt, for VMs that start anew, and for
 	// the seconds in which VMs differ on who serves.
-	private static final double SHARED_TOLERANCE = 0.5;
+	private static final double TOLERANCE_SHARE = 0.5;
 
 	// What a VM that has just started may spend at once, in seconds of its part: about
 	// what callers send while it starts.
-	private static final double FIRST_S = 0.5;
+	private static final double INITIAL_S = 0.5;
 
 	// A request passes while this many times its cost is left. A customer that has used
 	// its quota up with long prompts would otherwise be refused its plain calls as well,
 	// which take a thirtieth.
-	private static final double LEFT_COSTS = 4;
+	private static final double RESERVE_COSTS = 4;
 
 	// But no more than this part of the bucket has to be left.
-	private static final double LEFT_PART = 0.1;
+	private static final double MAX_RESERVE_SHARE = 0.1;
 
 	// Customers that are remembered. Beyond it those whose bucket is full are forgotten,
 	// as they would begin with a full one again.
-	private static final int MOST_CUSTOMERS = 20_000;
+	private static final int MAX_CUSTOMERS = 20_000;
 
-	private final QuotaBounds bounds;
+	private final QuotaTolerance tolerance;
 
 	private final long startedAt;
 
@@ -58,63 +58,63 @@
 
 	/**
 	 * Creates a book.
-	 * @param bounds how exactly quotas have to be kept
+	 * @param tolerance how exactly quotas have to be kept
 	 * @param startedAt since when this VM sees requests, in milliseconds
 	 */
-	QuotaBook(QuotaBounds bounds, long startedAt) {
-		this.bounds = bounds;
+	QuotaLimiter(QuotaTolerance tolerance, long startedAt) {
+		this.tolerance = tolerance;
 		this.startedAt = startedAt;
 	}
 
 	/**
 	 * Takes what a request costs.
-	 * @param c the customer
+	 * @param customer the customer
 	 * @param cost units
-	 * @param part the part of the quota that is this VM's, over 0 and at most 1
+	 * @param share the part of the quota that is this VM's, over 0 and at most 1
 	 * @param now the present time in milliseconds
 	 * @return 0 if it was taken, else after how many milliseconds there will be room
 	 */
-	long take(Customer c, double cost, double part, long now) {
-		if (!c.quota().limited()) {
+	long charge(Customer customer, double cost, double share, long now) {
+		if (!customer.quota().limited()) {
 			return 0;
 		}
-		TokenBucket b = bucket(c, part, now);
-		double least = Math.min(LEFT_PART * b.most(), LEFT_COSTS * cost);
-		if (b.level() > least) {
-			b.take(cost);
+		TokenBucket bucket = bucket(customer, share, now);
+		double reserve = Math.min(MAX_RESERVE_SHARE * bucket.capacity(), RESERVE_COSTS * cost);
+		if (bucket.level() > reserve) {
+			bucket.consume(cost);
 			return 0;
 		}
-		return 1 + (long) ((least - b.level()) / b.perMs());
+		return 1 + (long) ((reserve - bucket.level()) / bucket.perMs());
 	}
 
 	/**
 	 * Gives back what a request has taken that turned out not to run.
-	 * @param c the customer
+	 * @param customer the customer
 	 * @param cost units
 	 */
-	void giveBack(Customer c, double cost) {
-		TokenBucket b = this.byCustomer.get(c.name());
-		if (b != null) {
-			b.giveBack(cost);
+	void refund(Customer customer, double cost) {
+		TokenBucket bucket = this.byCustomer.get(customer.name());
+		if (bucket != null) {
+			bucket.refund(cost);
 		}
 	}
 
-	private TokenBucket bucket(Customer c, double part, long now) {
-		Quota q = c.quota();
-		double perMs = q.perSecond() * part / MS_PER_S;
-		double tolerated = this.bounds.slack()
-				+ this.bounds.overshoot() * (q.perSecond() * this.bounds.windowMs() / MS_PER_S + q.burst());
-		double most = part * (q.burst() + SHARED_TOLERANCE * tolerated);
-		TokenBucket b = this.byCustomer.get(c.name());
-		if (b == null) {
-			if (this.byCustomer.size() >= MOST_CUSTOMERS) {
+	private TokenBucket bucket(Customer customer, double share, long now) {
+		Quota quota = customer.quota();
+		double perMs = quota.perSecond() * share / MS_PER_S;
+		double toleratedUnits = this.tolerance.slack()
+				+ this.tolerance.overshoot() * (quota.perSecond() * this.tolerance.windowMs() / MS_PER_S + quota.burst());
+		double capacity = share * (quota.burst() + TOLERANCE_SHARE * toleratedUnits);
+		TokenBucket bucket = this.byCustomer.get(customer.name());
+		if (bucket == null) {
+			if (this.byCustomer.size() >= MAX_CUSTOMERS) {
 				this.byCustomer.values().removeIf((x) -> x.isFull(now));
 			}
-			b = new TokenBucket(perMs * (FIRST_S * MS_PER_S + now - this.startedAt), now);
-			this.byCustomer.put(c.name(), b);
+			bucket = new TokenBucket(perMs * (INITIAL_S * MS_PER_S + now - this.startedAt), now);
+			this.byCustomer.put(customer.name(), bucket);
 		}
-		b.fill(perMs, most, now);
-		return b;
+		bucket.refill(perMs, capacity, now);
+		return bucket;
 	}
 
 }
--- a/src/main/java/io/shallotspur/gateway/QuotaPart.java
+++ b/src/main/java/io/shallotspur/gateway/QuotaShare.java
@@ -8,9 +8,9 @@
  * not know yet that it serves, or no longer does; it has as much as if it were one more.
  * That is more than the whole in all, for the seconds in which callers move.
  */
-final class QuotaPart {
+final class QuotaShare {
 
-	private QuotaPart() {
+	private QuotaShare() {
 	}
 
 	static double of(EntryVmDirectory vms, long now) {
--- a/src/main/java/io/shallotspur/gateway/QuotaBounds.java
+++ b/src/main/java/io/shallotspur/gateway/QuotaTolerance.java
@@ -7,9 +7,9 @@
  * @param overshoot by what part of the quota a customer may pass it in a window
  * @param slack by how many units it may pass it besides
  */
-public record QuotaBounds(long windowMs, double overshoot, double slack) {
+public record QuotaTolerance(long windowMs, double overshoot, double slack) {
 
 	/** A quota is kept as it is. */
-	public static final QuotaBounds EXACT = new QuotaBounds(1_000, 0, 0);
+	public static final QuotaTolerance EXACT = new QuotaTolerance(1_000, 0, 0);
 
 }
--- /dev/null
+++ b/src/main/java/io/shallotspur/gateway/RateLimitEnforcer.java
@@ -0,0 +1,68 @@
+package io.shallotspur.gateway;
+
+/**
+ * Holds this VM to the limits that workers name. Not thread-safe; the present time is an
+ * argument.
+ */
+final class RateLimitEnforcer {
+
+	private final EntryVmDirectory vms;
+
+	private final double phase;
+
+	/**
+	 * Creates limits.
+	 * @param vms the VMs, with which limits are shared
+	 * @param phase a random number from 0 to 1
+	 */
+	RateLimitEnforcer(EntryVmDirectory vms, double phase) {
+		this.vms = vms;
+		this.phase = phase;
+	}
+
+	boolean admits(WorkerState worker, long now) {
+		return waitMs(worker, now) == 0;
+	}
+
+	/**
+	 * Returns how long the next request to a worker has to wait.
+	 * @param worker the worker
+	 * @param now the present time in milliseconds
+	 * @return milliseconds; 0 if it may be sent, {@link Long#MAX_VALUE} if that is not
+	 * known
+	 */
+	long waitMs(WorkerState worker, long now) {
+		if (!worker.limit().limit().isLimited()) {
+			return 0;
+		}
+		double share = share(worker, now);
+		long wait = worker.limit().waitMs(share, now);
+		return (share == 0 && mayProbe(worker, now)) ? 0 : wait;
+	}
+
+	/**
+	 * Returns how long a request has to wait to which the worker's next one is promised.
+	 * @param worker the worker
+	 * @param now the present time in milliseconds
+	 * @return as {@link #waitMs}
+	 */
+	long reservedWaitMs(WorkerState worker, long now) {
+		return worker.limit().limit().isLimited() ? worker.limit().reservedWaitMs(share(worker, now), now) : 0;
+	}
+
+	private double share(WorkerState worker, long now) {
+		return RateLimitShare.perSecond(worker.limit().limit(), worker.info().id(), this.vms, now);
+	}
+
+	private boolean mayProbe(WorkerState worker, long now) {
+		long window = RateLimitShare.probeWindow(this.vms, this.phase, now);
+		return window >= 0 && !worker.limit().hasProbedIn(window);
+	}
+
+	// A caller's request, or the prefill of its prompt, goes to a worker.
+	void recordSent(WorkerState worker, long now) {
+		boolean limited = worker.limit().limit().isLimited();
+		worker.limit().recordSent(limited ? RateLimitShare.probeWindow(this.vms, this.phase, now) : -1);
+	}
+
+}
--- a/src/main/java/io/shallotspur/gateway/LimitPart.java
+++ b/src/main/java/io/shallotspur/gateway/RateLimitShare.java
@@ -13,41 +13,41 @@
  * limit has requests a second, and a few more. The others leave the worker alone, but for
  * their turn: without it they would never hear that the limit has ended.
  */
-final class LimitPart {
+final class RateLimitShare {
 
 	// VMs with a part beyond the requests a second: a limit of less than two a second is
 	// shared by two VMs all the same, as one may be lost.
-	private static final int MORE_VMS = 2;
+	private static final int EXTRA_SHARERS = 2;
 
 	// A worker that takes nothing at all is asked now and then whether it does again,
 	// requests a second of all VMs together.
-	private static final double LEAST_PER_S = 0.25;
+	private static final double MIN_PER_S = 0.25;
 
 	// How long a turn lasts, ms, and between two turns how many such times for each VM.
 	// Turns come at random between the VMs, so that many of them rarely fall together.
-	private static final long TURN_MS = 1_000;
+	private static final long PROBE_WINDOW_MS = 1_000;
 
-	private static final int PAUSE_TURNS = 8;
+	private static final int WINDOWS_PER_VM = 8;
 
-	private LimitPart() {
+	private RateLimitShare() {
 	}
 
 	/**
 	 * Returns this VM's part.
 	 * @param limit the limit
-	 * @param worker the worker's id
+	 * @param workerId the worker's id
 	 * @param vms the VMs
 	 * @param now the present time in milliseconds
 	 * @return requests a second; 0 if the VM leaves the worker alone but for its turn
 	 */
-	static double perSecond(WorkerLimit limit, String worker, EntryVmDirectory vms, long now) {
+	static double perSecond(WorkerRateLimit limit, String workerId, EntryVmDirectory vms, long now) {
 		int serving = vms.servingCountAllRegions(now);
-		int place = vms.servingIndex(now);
-		int sharing = (int) Math.min(serving, Math.floor(limit.perSecond()) + MORE_VMS);
-		if (place < 0 || Math.floorMod(place + worker.hashCode(), serving) >= sharing) {
+		int position = vms.servingIndex(now);
+		int sharers = (int) Math.min(serving, Math.floor(limit.perSecond()) + EXTRA_SHARERS);
+		if (position < 0 || Math.floorMod(position + workerId.hashCode(), serving) >= sharers) {
 			return 0;
 		}
-		return Math.max(LEAST_PER_S, limit.perSecond()) / sharing;
+		return Math.max(MIN_PER_S, limit.perSecond()) / sharers;
 	}
 
 	/**
@@ -57,10 +57,10 @@
 	 * @param now the present time in milliseconds
 	 * @return the number of the turn, or -1 if it is none
 	 */
-	static long turn(EntryVmDirectory vms, double phase, long now) {
-		long turns = (long) PAUSE_TURNS * Math.max(1, vms.count(now));
-		long n = (long) (now + phase * turns * TURN_MS) / TURN_MS;
-		return (n % turns == 0) ? n / turns : -1;
+	static long probeWindow(EntryVmDirectory vms, double phase, long now) {
+		long cycleWindows = (long) WINDOWS_PER_VM * Math.max(1, vms.count(now));
+		long window = (long) (now + phase * cycleWindows * PROBE_WINDOW_MS) / PROBE_WINDOW_MS;
+		return (window % cycleWindows == 0) ? window / cycleWindows : -1;
 	}
 
 }
--- a/src/main/java/io/shallotspur/gateway/RelayMetrics.java
+++ b/src/main/java/io/shallotspur/gateway/RelayMetrics.java
@@ -65,7 +65,7 @@
 		return this.customers.contains(customer) ? customer : OTHERS;
 	}
 
-	void attemptEnded(AttemptEnd end) {
+	void attemptEnded(AttemptOutcome end) {
 		this.registry.counter("relay.attempt." + end.name().toLowerCase(Locale.ROOT)).inc();
 	}
 
--- a/src/main/java/io/shallotspur/gateway/RelayTask.java
+++ b/src/main/java/io/shallotspur/gateway/RelayTask.java
@@ -74,7 +74,7 @@
 	}
 
 	void start(long now) {
-		this.gateway.retryBudget.firstTry(this.upstream, now);
+		this.gateway.retryBudget.recordFirstAttempt(this.upstream, now);
 		long callerLeft = this.request.callerTimeoutMs() - (this.deadline - this.arrivedAt);
 		long slack = Math.min(WORKER_TIMEOUT_SLACK_MS, callerLeft);
 		this.cancelDeadline = this.gateway.timer.schedule(this.deadline + slack - now, this::onDeadline);
@@ -108,8 +108,8 @@
 
 	@Override
 	public boolean mayGoOnAfterPrefill(long now) {
-		this.history = this.history.with(AttemptEnd.NOT_RUN);
-		return mayRetry(AttemptEnd.NOT_RUN, now);
+		this.history = this.history.with(AttemptOutcome.NOT_RUN);
+		return mayRetry(AttemptOutcome.NOT_RUN, now);
 	}
 
 	@Override
@@ -208,12 +208,12 @@
 	}
 
 	@Override
-	public void onFailure(AttemptEnd end, String reason, @Nullable ResponseHead head, byte[] body) {
+	public void onFailure(AttemptOutcome end, String reason, @Nullable ResponseHead head, byte[] body) {
 		long now = this.gateway.clock.getAsLong();
 		this.history = this.history.with(end);
 		this.gateway.metrics.attemptEnded(end);
 		note(end, now);
-		NextStep next = this.history.next(end, mayRetry(end, now));
+		NextStep next = this.history.nextStep(end, mayRetry(end, now));
 		log(now, "attempt=" + end + " seen=\"" + reason + "\" next=" + next);
 		endAttempt();
 		switch (next) {
@@ -226,26 +226,26 @@
 		}
 	}
 
-	private void note(AttemptEnd end, long now) {
+	private void note(AttemptOutcome end, long now) {
 		if (this.attempt == null) {
 			return;
 		}
 		WorkerState w = this.attempt.worker();
 		w.outcome(true);
-		if (end == AttemptEnd.NOT_RUN) {
+		if (end == AttemptOutcome.NOT_RUN) {
 			int slots = w.info().slots();
 			w.reported(new LoadReport(slots, slots, slots), now);
 		}
 		else {
 			this.gateway.roster.detector(this.upstream).failed(w.info().id(), now);
 		}
-		if (end == AttemptEnd.NOT_SENT) {
+		if (end == AttemptOutcome.NOT_SENT) {
 			w.unreachable(now);
 		}
 	}
 
-	private boolean mayRetry(AttemptEnd end, long now) {
-		if (!this.history.allowsAnother(this.route.maxAttempts(), this.route.repeatable())) {
+	private boolean mayRetry(AttemptOutcome end, long now) {
+		if (!this.history.allowsAnotherAttempt(this.route.maxAttempts(), this.route.repeatable())) {
 			return false;
 		}
 		if (this.responseStarted && !this.route.resumable()) {
@@ -255,10 +255,10 @@
 			return false;
 		}
 		// What never left this VM has arrived nowhere, so it takes nothing of the budget.
-		return end == AttemptEnd.NOT_SENT || this.gateway.retryBudget.tryRetry(this.upstream, this.gateway.entryVms, now);
+		return end == AttemptOutcome.NOT_SENT || this.gateway.retryBudget.tryAcquire(this.upstream, this.gateway.entryVms, now);
 	}
 
-	private static RefusalReason refusalReason(AttemptEnd end) {
+	private static RefusalReason refusalReason(AttemptOutcome end) {
 		return switch (end) {
 			case NOT_SENT -> RefusalReason.NO_WORKER;
 			case NOT_RUN -> RefusalReason.WORKERS_FULL;
@@ -300,14 +300,14 @@
 		double draw = this.gateway.random.next();
 		long left = this.request.callerTimeoutMs() - (now - this.arrivedAt);
 		if (reason == RefusalReason.WORKERS_LIMITED) {
-			return RetryAdvice.afterRefillMs(this.placing.limitWaitMs(now), left, draw);
+			return RetryAfter.refillDelayMs(this.placing.limitWaitMs(now), left, draw);
 		}
 		boolean late = now > this.placing.latestStart();
 		boolean known = this.request.callerTimeoutMs() != Long.MAX_VALUE;
 		if (late && known && this.route.kind() == RouteKind.STREAM) {
-			return Math.max(1, RetryAdvice.afterLateMs(left, this.placing.answerMs(), draw));
+			return Math.max(1, RetryAfter.lateDelayMs(left, this.placing.answerMs(), draw));
 		}
-		return RetryAdvice.afterMs(this.route, draw);
+		return RetryAfter.delayMs(this.route, draw);
 	}
 
 	private void onDeadline() {
@@ -326,8 +326,8 @@
 	private void refuse(RelayRefusal r, long now) {
 		cancelAttempt();
 		refundQuota(r);
-		this.gateway.metrics.refused(r.code(), this.admitted.customerName());
-		log(now, "refused status=" + r.status() + " reason=" + r.code().code() + " retry-after-ms=" + r.retryAfterMs());
+		this.gateway.metrics.refused(r.reason(), this.admitted.customerName());
+		log(now, "refused status=" + r.status() + " reason=" + r.reason().code() + " retry-after-ms=" + r.retryAfterMs());
 		finish();
 		this.response.refuse(r);
 	}
@@ -337,7 +337,7 @@
 	private void refundQuota(RelayRefusal r) {
 		Customer c = this.admitted.customer();
 		if (c != null && r.status() == RelayRefusal.NOT_RUN) {
-			this.gateway.quotas.giveBack(c, this.admitted.quotaCost());
+			this.gateway.quotas.refund(c, this.admitted.quotaCost());
 		}
 	}
 
@@ -391,7 +391,7 @@
 		this.gateway.log.write(now,
 				() -> "id=" + this.request.id() + " route=" + this.route.name() + " upstream=" + this.upstream
 						+ " customer=" + this.admitted.customerName() + " worker=" + worker + " config="
-						+ this.admitted.routeTable().version() + " sends=" + this.history.sends() + " ms="
+						+ this.admitted.routeTable().version() + " sends=" + this.history.sentCount() + " ms="
 						+ (now - this.arrivedAt) + " " + what);
 	}
 
--- a/src/main/java/io/shallotspur/gateway/RequestAdmission.java
+++ b/src/main/java/io/shallotspur/gateway/RequestAdmission.java
@@ -83,18 +83,18 @@
 	}
 
 	private void authenticate(RouteTable t, Route r, boolean mayAsk, long now) {
-		KeyCheck.Verdict v = KeyCheck.of(t, r, this.request.keyHash(), this.gateway.configAgeMs(),
+		KeyCheck.Decision v = KeyCheck.evaluate(t, r, this.request.keyHash(), this.gateway.configAgeMs(),
 				this.gateway.settings.revokedKeyMs());
 		switch (v.action()) {
 			case ADMIT -> chargeQuota(t, r, v.customer(), now);
 			case DENY -> refuse(new RelayRefusal(UNAUTHORIZED, RefusalReason.UNKNOWN_KEY, 0), now);
-			case PROVE -> refreshConfig(r, mayAsk, now);
+			case REVALIDATE -> refreshConfig(r, mayAsk, now);
 		}
 	}
 
 	private void refreshConfig(Route r, boolean mayAsk, long now) {
 		if (!mayAsk) {
-			long after = RetryAdvice.afterMs(r, this.gateway.random.next());
+			long after = RetryAfter.delayMs(r, this.gateway.random.next());
 			refuse(RelayRefusal.notRun(RefusalReason.KEY_UNPROVEN, after), now);
 			return;
 		}
@@ -115,10 +115,10 @@
 
 	private void chargeQuota(RouteTable t, Route r, @Nullable Customer c, long now) {
 		double cost = (c != null) ? quotaCost(c) : 0;
-		long wait = (c != null) ? this.gateway.quotas.take(c, cost, QuotaPart.of(this.gateway.entryVms, now), now) : 0;
+		long wait = (c != null) ? this.gateway.quotas.charge(c, cost, QuotaShare.of(this.gateway.entryVms, now), now) : 0;
 		if (wait > 0) {
-			long after = RetryAdvice.afterRefillMs(wait, this.request.callerTimeoutMs(), this.gateway.random.next());
-			refuse(new RelayRefusal(RelayRefusal.TOO_MANY, RefusalReason.OVER_QUOTA, after), c, now);
+			long after = RetryAfter.refillDelayMs(wait, this.request.callerTimeoutMs(), this.gateway.random.next());
+			refuse(new RelayRefusal(RelayRefusal.TOO_MANY_REQUESTS, RefusalReason.OVER_QUOTA, after), c, now);
 			return;
 		}
 		if (c != null) {
@@ -148,11 +148,11 @@
 		this.done = true;
 		this.gateway.requestFinished();
 		String customer = (c != null) ? c.name() : null;
-		this.gateway.metrics.refused(refusal.code(), customer);
+		this.gateway.metrics.refused(refusal.reason(), customer);
 		long version = this.gateway.routeTable().map(RouteTable::version).orElse(0L);
 		this.gateway.log.write(now,
 				() -> "id=" + this.request.id() + " customer=" + customer + " refused status=" + refusal.status()
-						+ " reason=" + refusal.code().code() + " retry-after-ms=" + refusal.retryAfterMs() + " config="
+						+ " reason=" + refusal.reason().code() + " retry-after-ms=" + refusal.retryAfterMs() + " config="
 						+ version);
 		this.response.refuse(refusal);
 	}
--- a/src/main/java/io/shallotspur/gateway/RetryAdvice.java
+++ b/src/main/java/io/shallotspur/gateway/RetryAfter.java
@@ -9,37 +9,37 @@
  * Callers that are refused together in a burst would return together and be refused
  * again; the advice is spread over a span as long as itself.
  */
-final class RetryAdvice {
+final class RetryAfter {
 
 	// A plain worker frees a slot every few ms; a queue of a worker's length is gone
 	// after this time, ms.
-	private static final long PLAIN_MS = 150;
+	private static final long PLAIN_DELAY_MS = 150;
 
 	// Model requests hold a slot for half a second to a second, ms.
-	private static final long STREAM_MS = 500;
+	private static final long STREAM_DELAY_MS = 500;
 
 	// Callers heed advice up to a third of the time they have left.
-	private static final double HEEDED_SHARE = 1.0 / 3;
+	private static final double MAX_HEEDED_SHARE = 1.0 / 3;
 
 	// The return of late callers is spread over this part of the longest advice.
-	private static final double SPREAD = 0.4;
+	private static final double LATE_JITTER = 0.4;
 
 	// Estimates of answers are right at the median only, and the caller may have to wait
 	// for a place.
 	static final double ANSWER_MARGIN = 1.5;
 
-	private RetryAdvice() {
+	private RetryAfter() {
 	}
 
 	/**
 	 * Returns when a caller is to come back who can still be answered in time.
 	 * @param route its route
-	 * @param draw a random number from 0 to 1
+	 * @param random a random number from 0 to 1
 	 * @return milliseconds
 	 */
-	static long afterMs(Route route, double draw) {
-		long base = (route.kind() == RouteKind.STREAM) ? STREAM_MS : PLAIN_MS;
-		return base + (long) (base * draw);
+	static long delayMs(Route route, double random) {
+		long baseMs = (route.kind() == RouteKind.STREAM) ? STREAM_DELAY_MS : PLAIN_DELAY_MS;
+		return baseMs + (long) (baseMs * random);
 	}
 
 	/**
@@ -47,12 +47,12 @@
 	 * used up. All who are wait for the same refill, so they are spread over as long
 	 * again.
 	 * @param refillMs after how long there will be room, in milliseconds
-	 * @param leftMs how long the caller will still wait, in milliseconds
-	 * @param draw a random number from 0 to 1
+	 * @param remainingMs how long the caller will still wait, in milliseconds
+	 * @param random a random number from 0 to 1
 	 * @return milliseconds
 	 */
-	static long afterRefillMs(long refillMs, long leftMs, double draw) {
-		return (long) Math.min(HEEDED_SHARE * leftMs, PLAIN_MS + refillMs * (1 + draw));
+	static long refillDelayMs(long refillMs, long remainingMs, double random) {
+		return (long) Math.min(MAX_HEEDED_SHARE * remainingMs, PLAIN_DELAY_MS + refillMs * (1 + random));
 	}
 
 	/**
@@ -60,14 +60,14 @@
 	 * loses nothing by coming later, and by then the burst that kept it waiting is more
 	 * likely over; back at once, it would wait in vain a second time, and has no third.
 	 * It must not come so late that a long answer can no longer end in time.
-	 * @param leftMs how long it will still wait, in milliseconds
+	 * @param remainingMs how long it will still wait, in milliseconds
 	 * @param answerMs how long its answer will likely take, in milliseconds
-	 * @param draw a random number from 0 to 1
+	 * @param random a random number from 0 to 1
 	 * @return milliseconds
 	 */
-	static long afterLateMs(long leftMs, long answerMs, double draw) {
-		double latest = Math.max(STREAM_MS, leftMs - ANSWER_MARGIN * answerMs);
-		return (long) (Math.min(leftMs * HEEDED_SHARE, latest) * (1 - SPREAD * draw));
+	static long lateDelayMs(long remainingMs, long answerMs, double random) {
+		double latestMs = Math.max(STREAM_DELAY_MS, remainingMs - ANSWER_MARGIN * answerMs);
+		return (long) (Math.min(remainingMs * MAX_HEEDED_SHARE, latestMs) * (1 - LATE_JITTER * random));
 	}
 
 }
--- a/src/main/java/io/shallotspur/gateway/ElapsedTime.java
+++ b/src/main/java/io/shallotspur/gateway/SuspendAwareClock.java
@@ -11,36 +11,36 @@
  * <p>
  * Invariant: the time never goes back, provided that the steady clock does not.
  */
-final class ElapsedTime {
+final class SuspendAwareClock {
 
 	// The clocks of a running machine differ by less between two readings, ms: they are
 	// read one after the other, and the time of day is slewed a little. Small gains add
 	// up until they pass it.
-	private static final long NOTICED_MS = 100;
+	private static final long SUSPENSION_THRESHOLD_MS = 100;
 
-	private boolean begun;
+	private boolean initialized;
 
-	private long offset;
+	private long offsetMs;
 
 	private long suspendedMs;
 
 	/**
 	 * Returns the time.
-	 * @param steadyMs the steady clock, in milliseconds
+	 * @param monotonicMs the steady clock, in milliseconds
 	 * @param wallMs the time of day, in Unix milliseconds
 	 * @return milliseconds since some moment
 	 */
-	long at(long steadyMs, long wallMs) {
-		long now = wallMs - steadyMs;
-		long gained = this.begun ? now - this.offset : 0;
-		if (gained > NOTICED_MS) {
-			this.suspendedMs += gained;
+	long elapsedMs(long monotonicMs, long wallMs) {
+		long newOffsetMs = wallMs - monotonicMs;
+		long gainedMs = this.initialized ? newOffsetMs - this.offsetMs : 0;
+		if (gainedMs > SUSPENSION_THRESHOLD_MS) {
+			this.suspendedMs += gainedMs;
 		}
-		if (!this.begun || Math.abs(gained) > NOTICED_MS) {
-			this.offset = now;
-			this.begun = true;
+		if (!this.initialized || Math.abs(gainedMs) > SUSPENSION_THRESHOLD_MS) {
+			this.offsetMs = newOffsetMs;
+			this.initialized = true;
 		}
-		return steadyMs + this.suspendedMs;
+		return monotonicMs + this.suspendedMs;
 	}
 
 }
--- a/src/main/java/io/shallotspur/gateway/TokenBucket.java
+++ b/src/main/java/io/shallotspur/gateway/TokenBucket.java
@@ -10,34 +10,34 @@
 
 	private double perMs;
 
-	private double most;
+	private double capacity;
 
 	private double level;
 
-	private long at;
+	private long updatedAt;
 
 	/**
 	 * Creates a bucket.
 	 * @param level what it holds
-	 * @param at since when, in milliseconds
+	 * @param updatedAt since when, in milliseconds
 	 */
-	TokenBucket(double level, long at) {
+	TokenBucket(double level, long updatedAt) {
 		this.level = level;
-		this.at = at;
+		this.updatedAt = updatedAt;
 	}
 
 	/**
 	 * Brings the bucket up to date. Another rate holds from now on; a smaller bucket
 	 * holds at once for what is left, too.
-	 * @param nextPerMs what comes in a millisecond
-	 * @param nextMost how much the bucket holds
+	 * @param newPerMs what comes in a millisecond
+	 * @param newCapacity how much the bucket holds
 	 * @param now the present time in milliseconds
 	 */
-	void fill(double nextPerMs, double nextMost, long now) {
-		this.level = Math.min(nextMost, this.level + this.perMs * (now - this.at));
-		this.perMs = nextPerMs;
-		this.most = nextMost;
-		this.at = now;
+	void refill(double newPerMs, double newCapacity, long now) {
+		this.level = Math.min(newCapacity, this.level + this.perMs * (now - this.updatedAt));
+		this.perMs = newPerMs;
+		this.capacity = newCapacity;
+		this.updatedAt = now;
 	}
 
 	double level() {
@@ -48,20 +48,20 @@
 		return this.perMs;
 	}
 
-	double most() {
-		return this.most;
+	double capacity() {
+		return this.capacity;
 	}
 
-	void take(double amount) {
+	void consume(double amount) {
 		this.level -= amount;
 	}
 
-	void giveBack(double amount) {
-		this.level = Math.min(this.most, this.level + amount);
+	void refund(double amount) {
+		this.level = Math.min(this.capacity, this.level + amount);
 	}
 
 	boolean isFull(long now) {
-		return this.level + this.perMs * (now - this.at) >= this.most;
+		return this.level + this.perMs * (now - this.updatedAt) >= this.capacity;
 	}
 
 }
--- a/src/main/java/io/shallotspur/gateway/RetryAllowance.java
+++ b/src/main/java/io/shallotspur/gateway/UpstreamRetryBudget.java
@@ -16,64 +16,64 @@
  * <p>
  * Invariant: in any window at most {@code ratio * requests + slack share} retries.
  */
-final class RetryAllowance {
+final class UpstreamRetryBudget {
 
 	// VMs that may be serving though this VM has not heard of them yet.
-	private static final int UNHEARD_VMS = 1;
+	private static final int UNKNOWN_VMS = 1;
 
 	// The part of the slack for the VMs that callers are told to use. The rest is for
 	// callers who still have an older answer, and for a set that has just changed: both
 	// the old and the new one may have used their part within a window.
-	private static final double SERVING_PART = 0.5;
+	private static final double SERVING_SHARE = 0.5;
 
 	private final GatewaySettings settings;
 
 	private final Map<String, Window> byUpstream = new HashMap<>();
 
-	RetryAllowance(GatewaySettings settings) {
+	UpstreamRetryBudget(GatewaySettings settings) {
 		this.settings = settings;
 	}
 
-	void firstTry(String upstream, long now) {
-		window(upstream, now).first.add(now);
+	void recordFirstAttempt(String upstream, long now) {
+		window(upstream, now).firstAttempts.add(now);
 	}
 
-	boolean tryRetry(String upstream, EntryVmDirectory vms, long now) {
-		Window w = window(upstream, now);
-		double most = this.settings.retryRatio() * w.first.size() + slackShare(vms, now);
-		if (w.retries.size() + 1 > most) {
+	boolean tryAcquire(String upstream, EntryVmDirectory vms, long now) {
+		Window window = window(upstream, now);
+		double maxRetries = this.settings.retryRatio() * window.firstAttempts.size() + slackShare(vms, now);
+		if (window.retries.size() + 1 > maxRetries) {
 			return false;
 		}
-		w.retries.add(now);
+		window.retries.add(now);
 		return true;
 	}
 
 	private double slackShare(EntryVmDirectory vms, long now) {
-		double ofAll = this.settings.retrySlack() / (Math.max(1, vms.count(now)) + UNHEARD_VMS);
+		double shareOfAll = this.settings.retrySlack() / (Math.max(1, vms.count(now)) + UNKNOWN_VMS);
 		if (vms.isStandby(now)) {
-			return (1 - SERVING_PART) * ofAll;
+			return (1 - SERVING_SHARE) * shareOfAll;
 		}
-		double ofServing = this.settings.retrySlack() / (vms.servingCountOwnRegion(now) + UNHEARD_VMS);
-		return (1 - SERVING_PART) * ofAll + SERVING_PART * ofServing;
+		double shareOfServing = this.settings.retrySlack() / (vms.servingCountOwnRegion(now) + UNKNOWN_VMS);
+		return (1 - SERVING_SHARE) * shareOfAll + SERVING_SHARE * shareOfServing;
 	}
 
 	private Window window(String upstream, long now) {
-		Window w = this.byUpstream.computeIfAbsent(upstream, (u) -> new Window());
-		long oldest = now - this.settings.retryWindowMs();
-		drop(w.first, oldest);
-		drop(w.retries, oldest);
-		return w;
+		Window window = this.byUpstream.computeIfAbsent(upstream, (u) -> new Window());
+		long cutoff = now - this.settings.retryWindowMs();
+		removeBefore(window.firstAttempts, cutoff);
+		removeBefore(window.retries, cutoff);
+		return window;
 	}
 
-	private static void drop(ArrayDeque<Long> times, long oldest) {
-		while (!times.isEmpty() && times.peekFirst() < oldest) {
+	private static void removeBefore(ArrayDeque<Long> times, long cutoff) {
+		while (!times.isEmpty() && times.peekFirst() < cutoff) {
 			times.removeFirst();
 		}
 	}
 
 	private static final class Window {
 
-		private final ArrayDeque<Long> first = new ArrayDeque<>();
+		private final ArrayDeque<Long> firstAttempts = new ArrayDeque<>();
 
 		private final ArrayDeque<Long> retries = new ArrayDeque<>();
 
--- a/src/main/java/io/shallotspur/gateway/WorkerNews.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerNews.java
@@ -9,7 +9,7 @@
  * @param limit how many requests it takes, or {@code null} if the answer does not show
  * whether it still names a limit
  */
-public record WorkerNews(@Nullable LoadReport load, @Nullable WorkerLimit limit) {
+public record WorkerNews(@Nullable LoadReport load, @Nullable WorkerRateLimit limit) {
 
 	/** An answer from which nothing is learned. */
 	public static final WorkerNews NONE = new WorkerNews(null, null);
--- a/src/main/java/io/shallotspur/gateway/WorkerLimit.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerRateLimit.java
@@ -5,22 +5,22 @@
  *
  * @param perSecond requests a second, 0 or more; infinite if it names no limit
  */
-public record WorkerLimit(double perSecond) {
+public record WorkerRateLimit(double perSecond) {
 
 	/** The worker takes whatever comes. */
-	public static final WorkerLimit NONE = new WorkerLimit(Double.POSITIVE_INFINITY);
+	public static final WorkerRateLimit UNLIMITED = new WorkerRateLimit(Double.POSITIVE_INFINITY);
 
 	/**
 	 * Tells whether the worker names a limit.
 	 * @return {@code false} if it takes whatever comes
 	 */
-	public boolean named() {
+	public boolean isLimited() {
 		return this.perSecond < Double.POSITIVE_INFINITY;
 	}
 
 	@Override
 	public String toString() {
-		return named() ? Double.toString(this.perSecond) : "none";
+		return isLimited() ? Double.toString(this.perSecond) : "none";
 	}
 
 }
--- a/src/main/java/io/shallotspur/gateway/NamedLimit.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerRateLimiter.java
@@ -7,26 +7,26 @@
  * Invariants: a limit ends only with an answer to a request that was sent after the limit
  * was last heard, since answers on different connections overtake each other; under a
  * limit, requests are sent at the rate of this VM's part, with no more saved up than
- * {@link #SAVED_MS} bring, or one request; a limit that is new begins with nothing saved.
+ * {@link #BURST_MS} bring, or one request; a limit that is new begins with nothing saved.
  */
-final class NamedLimit {
+final class WorkerRateLimiter {
 
 	// Requests do not come at even distances. What is saved lets the next two or three
 	// go at once without passing the limit by more than a fraction, ms.
-	private static final double SAVED_MS = 250;
+	private static final double BURST_MS = 250;
 
 	private static final double MS_PER_S = 1_000;
 
-	private WorkerLimit limit = WorkerLimit.NONE;
+	private WorkerRateLimit limit = WorkerRateLimit.UNLIMITED;
 
-	private long heardAt;
+	private long lastReportedAt;
 
-	private long since;
+	private long changedAt;
 
-	private long sent;
+	private long sentCount;
 
 	// Whether this VM's part has been known since the limit began.
-	private boolean begun;
+	private boolean shareKnown;
 
 	private TokenBucket bucket = new TokenBucket(0, 0);
 
@@ -35,40 +35,40 @@
 	private int reserved;
 
 	// The last turn of this VM in which a request was sent; see LimitPart.
-	private long turn = -1;
+	private long lastProbeWindow = -1;
 
 	/**
 	 * Takes what an answer shows of the limit.
-	 * @param next the limit
-	 * @param sentAt when the request was sent, in milliseconds
+	 * @param newLimit the limit
+	 * @param requestSentAt when the request was sent, in milliseconds
 	 * @param now the present time in milliseconds
 	 * @return whether the limit has changed
 	 */
-	boolean told(WorkerLimit next, long sentAt, long now) {
-		if (!next.named() && this.limit.named() && sentAt <= this.heardAt) {
+	boolean update(WorkerRateLimit newLimit, long requestSentAt, long now) {
+		if (!newLimit.isLimited() && this.limit.isLimited() && requestSentAt <= this.lastReportedAt) {
 			return false;
 		}
-		if (next.named()) {
-			this.heardAt = now;
+		if (newLimit.isLimited()) {
+			this.lastReportedAt = now;
 		}
-		if (next.equals(this.limit)) {
+		if (newLimit.equals(this.limit)) {
 			return false;
 		}
-		if (this.limit.named() && next.named()) {
-			double part = next.perSecond() / Math.max(next.perSecond(), this.limit.perSecond());
-			this.bucket.fill(part * this.bucket.perMs(), this.bucket.most(), now);
+		if (this.limit.isLimited() && newLimit.isLimited()) {
+			double scale = newLimit.perSecond() / Math.max(newLimit.perSecond(), this.limit.perSecond());
+			this.bucket.refill(scale * this.bucket.perMs(), this.bucket.capacity(), now);
 		}
 		else {
 			this.bucket = new TokenBucket(0, now);
-			this.begun = false;
+			this.shareKnown = false;
 		}
-		this.limit = next;
-		this.since = now;
-		this.sent = 0;
+		this.limit = newLimit;
+		this.changedAt = now;
+		this.sentCount = 0;
 		return true;
 	}
 
-	WorkerLimit limit() {
+	WorkerRateLimit limit() {
 		return this.limit;
 	}
 
@@ -95,12 +95,12 @@
 
 	private long waitMs(double perSecond, int requests, long now) {
 		double perMs = perSecond / MS_PER_S;
-		double most = Math.max(1, SAVED_MS * perMs);
-		if (!this.begun) {
-			this.begun = true;
-			this.bucket.fill(perMs, most, this.since);
+		double capacity = Math.max(1, BURST_MS * perMs);
+		if (!this.shareKnown) {
+			this.shareKnown = true;
+			this.bucket.refill(perMs, capacity, this.changedAt);
 		}
-		this.bucket.fill(perMs, most, now);
+		this.bucket.refill(perMs, capacity, now);
 		double missing = requests - this.bucket.level();
 		if (missing <= 0) {
 			return 0;
@@ -112,23 +112,23 @@
 		this.reserved++;
 	}
 
-	void unreserve() {
+	void releaseReservation() {
 		this.reserved--;
 	}
 
 	/**
 	 * Takes that a request is sent. One that was placed before the limit was heard leaves
 	 * a debt.
-	 * @param inTurn the turn of this VM in which it is sent, or -1 if it has none
+	 * @param probeWindow the turn of this VM in which it is sent, or -1 if it has none
 	 */
-	void sent(long inTurn) {
-		this.sent++;
-		this.bucket.take(1);
-		this.turn = inTurn;
+	void recordSent(long probeWindow) {
+		this.sentCount++;
+		this.bucket.consume(1);
+		this.lastProbeWindow = probeWindow;
 	}
 
-	boolean hasUsed(long inTurn) {
-		return this.turn == inTurn;
+	boolean hasProbedIn(long probeWindow) {
+		return this.lastProbeWindow == probeWindow;
 	}
 
 	/**
@@ -136,8 +136,8 @@
 	 * @param now the present time in milliseconds
 	 * @return the limit, requests and time
 	 */
-	Sent sentSince(long now) {
-		return new Sent(this.limit, this.sent, now - this.since);
+	SendCount sentSinceChange(long now) {
+		return new SendCount(this.limit, this.sentCount, now - this.changedAt);
 	}
 
 	/**
@@ -145,13 +145,13 @@
 	 *
 	 * @param limit the limit
 	 * @param requests how many requests
-	 * @param ms in how many milliseconds
+	 * @param elapsedMs in how many milliseconds
 	 */
-	record Sent(WorkerLimit limit, long requests, long ms) {
+	record SendCount(WorkerRateLimit limit, long requests, long elapsedMs) {
 
 		@Override
 		public String toString() {
-			return "limit-per-s=" + this.limit + " sent=" + this.requests + " since-ms=" + this.ms;
+			return "limit-per-s=" + this.limit + " sent=" + this.requests + " since-ms=" + this.elapsedMs;
 		}
 
 	}
--- a/src/main/java/io/shallotspur/gateway/WorkerState.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerState.java
@@ -54,7 +54,7 @@
 
 	private long unreachableUntil;
 
-	private final NamedLimit limit = new NamedLimit();
+	private final WorkerRateLimiter limit = new WorkerRateLimiter();
 
 	private final Set<Runnable> onEnd = new LinkedHashSet<>();
 
@@ -155,7 +155,7 @@
 		this.reportedAt = now;
 	}
 
-	NamedLimit limit() {
+	WorkerRateLimiter limit() {
 		return this.limit;
 	}
 
--- a/src/main/java/io/shallotspur/platform/AnswerDecoder.java
+++ b/src/main/java/io/shallotspur/platform/AnswerDecoder.java
@@ -9,7 +9,7 @@
 import io.shallotspur.gateway.ResponseHead;
 import io.shallotspur.gateway.ResponseAuthenticity;
 import io.shallotspur.gateway.LoadReport;
-import io.shallotspur.gateway.WorkerLimit;
+import io.shallotspur.gateway.WorkerRateLimit;
 import io.shallotspur.gateway.WorkerNews;
 
 /**
@@ -47,14 +47,14 @@
 		return new WorkerNews(load(h.get(Names.LOAD)), limit(h.get(Names.LIMIT), tellsAll));
 	}
 
-	private static @Nullable WorkerLimit limit(@Nullable String v, boolean tellsAll) {
+	private static @Nullable WorkerRateLimit limit(@Nullable String v, boolean tellsAll) {
 		if (v == null) {
-			return tellsAll ? WorkerLimit.NONE : null;
+			return tellsAll ? WorkerRateLimit.UNLIMITED : null;
 		}
 		try {
 			double perSecond = Double.parseDouble(v.strip());
 			if (perSecond >= 0 && perSecond < Double.POSITIVE_INFINITY) {
-				return new WorkerLimit(perSecond);
+				return new WorkerRateLimit(perSecond);
 			}
 		}
 		catch (NumberFormatException ex) {
--- a/src/main/java/io/shallotspur/platform/CallerExchange.java
+++ b/src/main/java/io/shallotspur/platform/CallerExchange.java
@@ -71,13 +71,13 @@
 
 	@Override
 	public void refuse(RelayRefusal refusal) {
-		byte[] body = refusal.code().code().getBytes(StandardCharsets.US_ASCII);
+		byte[] body = refusal.reason().code().getBytes(StandardCharsets.US_ASCII);
 		if (refusal.retryAfterMs() > 0) {
 			this.response.header(HttpHeaderNames.RETRY_AFTER,
 					String.format(Locale.ROOT, "%.3f", refusal.retryAfterMs() / MS_PER_S));
 		}
 		// What is left of a request that was not understood cannot be told from the next.
-		if (refusal.code() == RefusalReason.BAD_REQUEST) {
+		if (refusal.reason() == RefusalReason.BAD_REQUEST) {
 			this.response.header(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
 		}
 		send(refusal.status(), List.of(new HeaderField("Content-Type", "text/plain")), body);
--- a/src/main/java/io/shallotspur/platform/PlatformSettings.java
+++ b/src/main/java/io/shallotspur/platform/PlatformSettings.java
@@ -6,7 +6,7 @@
 import io.shallotspur.exc.InputException;
 import io.shallotspur.exc.SettingsException;
 import io.shallotspur.gateway.GatewaySettings;
-import io.shallotspur.gateway.QuotaBounds;
+import io.shallotspur.gateway.QuotaTolerance;
 import io.shallotspur.registry.ChangeDeadlines;
 import io.shallotspur.util.toml.Problems;
 import io.shallotspur.util.toml.TomlTable;
@@ -92,10 +92,10 @@
 			.withQuotas(quotas(bounds));
 	}
 
-	private static QuotaBounds quotas(TomlTable bounds) {
-		QuotaBounds d = QuotaBounds.EXACT;
+	private static QuotaTolerance quotas(TomlTable bounds) {
+		QuotaTolerance d = QuotaTolerance.EXACT;
 		double window = bounds.number("quota_window_s", (double) d.windowMs() / MS_PER_S, 0.1, 3_600);
-		return new QuotaBounds((long) (window * MS_PER_S), bounds.number("quota_overshoot", d.overshoot(), 0, 10),
+		return new QuotaTolerance((long) (window * MS_PER_S), bounds.number("quota_overshoot", d.overshoot(), 0, 10),
 				bounds.number("quota_slack", d.slack(), 0, 1e12));
 	}
 
--- a/src/main/java/io/shallotspur/registry/ConfigReader.java
+++ b/src/main/java/io/shallotspur/registry/ConfigReader.java
@@ -53,7 +53,7 @@
 	}
 
 	@Override
-	public void ask(Runnable then) {
+	public void refresh(Runnable then) {
 		long now = this.gateway.elapsedMs();
 		if (!this.underWay && now - this.failedAt < RETRY_MS) {
 			then.run();
--- a/src/test/java/io/shallotspur/gateway/AttemptHistoryTests.java
+++ b/src/test/java/io/shallotspur/gateway/AttemptHistoryTests.java
@@ -18,36 +18,36 @@
 	@CsvSource({ "NOT_SENT, true, RETRY", "NOT_SENT, false, REFUSE_NOT_RUN", "NOT_RUN, true, RETRY",
 			"NOT_RUN, false, REFUSE_NOT_RUN", "FAILED, true, RETRY", "FAILED, false, RELAY_FAILURE",
 			"UNKNOWN, true, RETRY", "UNKNOWN, false, REPORT_UNKNOWN" })
-	void eachEndHasOneNextStep(AttemptEnd end, boolean mayRetry, NextStep next) {
+	void eachOutcomeHasOneNextStep(AttemptOutcome end, boolean mayRetry, NextStep next) {
 		AttemptHistory h = AttemptHistory.NONE.with(end);
-		Assertions.assertThat(h.next(end, mayRetry)).isEqualTo(next);
+		Assertions.assertThat(h.nextStep(end, mayRetry)).isEqualTo(next);
 	}
 
 	// A first worker dies with the request, a second one refuses it. Whoever looks at
 	// the second alone tells the caller that nothing ran, and the caller sends a
 	// renewal again that the first worker has issued.
 	@Property(tries = 10_000, seed = "1")
-	void neverPromisesNotRunAfterAnAttemptThatMayHaveRun(@ForAll @Size(min = 1, max = 6) List<AttemptEnd> ends) {
+	void neverReportsNotRunAfterAnAttemptThatMayHaveRun(@ForAll @Size(min = 1, max = 6) List<AttemptOutcome> ends) {
 		AttemptHistory h = AttemptHistory.NONE;
 		boolean mayHaveRun = false;
-		for (AttemptEnd e : ends) {
+		for (AttemptOutcome e : ends) {
 			h = h.with(e);
 			mayHaveRun |= e.mayHaveRun();
-			NextStep next = h.next(e, false);
+			NextStep next = h.nextStep(e, false);
 			Assertions.assertThat(next == NextStep.REFUSE_NOT_RUN).isEqualTo(!mayHaveRun);
 		}
 	}
 
 	@Property(tries = 10_000, seed = "1")
-	void runsOnceAtMostUnlessRepeatable(@ForAll @Size(max = 6) List<AttemptEnd> ends) {
+	void nonRepeatableRequestRunsAtMostOnce(@ForAll @Size(max = 6) List<AttemptOutcome> ends) {
 		AttemptHistory h = AttemptHistory.NONE;
-		for (AttemptEnd e : ends) {
+		for (AttemptOutcome e : ends) {
 			h = h.with(e);
 		}
-		boolean mayHaveRun = ends.stream().anyMatch(AttemptEnd::mayHaveRun);
-		Assertions.assertThat(h.allowsAnother(100, false)).isEqualTo(!mayHaveRun);
-		Assertions.assertThat(h.allowsAnother(100, true)).isTrue();
-		Assertions.assertThat(h.allowsAnother(h.sends(), true)).isFalse();
+		boolean mayHaveRun = ends.stream().anyMatch(AttemptOutcome::mayHaveRun);
+		Assertions.assertThat(h.allowsAnotherAttempt(100, false)).isEqualTo(!mayHaveRun);
+		Assertions.assertThat(h.allowsAnotherAttempt(100, true)).isTrue();
+		Assertions.assertThat(h.allowsAnotherAttempt(h.sentCount(), true)).isFalse();
 	}
 
 }
--- a/src/test/java/io/shallotspur/gateway/CustomerKeyTests.java
+++ b/src/test/java/io/shallotspur/gateway/CustomerKeyTests.java
@@ -15,39 +15,39 @@
  */
 class CustomerKeyTests {
 
-	private static final long REVOKED_MS = 5_000;
+	private static final long REVOCATION_BOUND_MS = 5_000;
 
 	private static final Customer ACME = GatewayFixture.customer("acme", Quota.UNLIMITED, "key-1", "key-2");
 
 	private static final Customer BOLT = GatewayFixture.customer("bolt", Quota.UNLIMITED, "key-3");
 
-	private final GatewayFixture f = new GatewayFixture(REVOKED_MS).addPlainWorkers(2);
+	private final GatewayFixture f = new GatewayFixture(REVOCATION_BOUND_MS).addPlainWorkers(2);
 
 	// Questions to the store that wait for an answer.
-	private final List<Runnable> questions = new ArrayList<>();
+	private final List<Runnable> storeRequests = new ArrayList<>();
 
 	CustomerKeyTests() {
 		this.f.gateway.configure(GatewayFixture.table(1, ACME, BOLT));
-		this.f.gateway.setConfigSource(this.questions::add);
-		prove();
+		this.f.gateway.setConfigSource(this.storeRequests::add);
+		confirmConfig();
 	}
 
-	private void prove() {
+	private void confirmConfig() {
 		this.f.gateway.configConfirmed(this.f.gateway.elapsedMs());
 	}
 
-	private void answerAll() {
-		List<Runnable> l = List.copyOf(this.questions);
-		this.questions.clear();
+	private void completeStoreRequests() {
+		List<Runnable> l = List.copyOf(this.storeRequests);
+		this.storeRequests.clear();
 		l.forEach(Runnable::run);
 	}
 
-	private int runs() {
+	private int runCount() {
 		return this.f.workers.runs.size();
 	}
 
 	@Test
-	void tellsTheWorkerWhoseRequestItIs() {
+	void forwardsTheCustomerToTheWorker() {
 		this.f.callWithKey("safe", "key-2");
 		Assertions.assertThat(this.f.workers.lastRun().call.customer()).isEqualTo("acme");
 		this.f.callWithKey("safe", "key-3");
@@ -55,15 +55,15 @@
 	}
 
 	@Test
-	void deniesACallerWithoutAKnownKey() {
+	void rejectsMissingAndUnknownKeys() {
 		Assertions.assertThat(this.f.callWithKey("safe", null).caller().status).isEqualTo(401);
 		Assertions.assertThat(this.f.callWithKey("safe", "guess").caller().status).isEqualTo(401);
-		Assertions.assertThat(runs()).isZero();
+		Assertions.assertThat(runCount()).isZero();
 		Assertions.assertThat(this.f.gateway.inProgress()).isZero();
 	}
 
 	@Test
-	void asksForNoKeyWhereTheOperatorWantsNone() {
+	void anonymousRouteNeedsNoKey() {
 		this.f.callWithKey("open", null);
 		Assertions.assertThat(this.f.workers.lastRun().call.customer()).isNull();
 		this.f.callWithKey("open", "guess");
@@ -73,8 +73,8 @@
 	}
 
 	@Test
-	void asksForNoKeyWhereTheOperatorKeepsNoCustomers() {
-		GatewayFixture g = new GatewayFixture(REVOKED_MS).configured().addPlainWorkers(1);
+	void noKeyIsNeededWithoutConfiguredCustomers() {
+		GatewayFixture g = new GatewayFixture(REVOCATION_BOUND_MS).configured().addPlainWorkers(1);
 		g.callWithKey("safe", "any");
 		Assertions.assertThat(g.workers.lastRun().call.customer()).isNull();
 	}
@@ -82,141 +82,141 @@
 	// A customer gets a new key, and the first caller who uses it reaches a VM that has
 	// not heard of it. Denied, the caller takes its key for bad and gives up.
 	@Test
-	void asksForANewerConfigurationBeforeItDeniesAKey() {
+	void refreshesTheConfigurationBeforeRejectingAKey() {
 		this.f.timer.advance(2_000);
 		Call c = this.f.callWithKey("safe", "key-new");
 		Assertions.assertThat(c.caller().completed).isFalse();
 		this.f.gateway
 			.configure(GatewayFixture.table(2, ACME, GatewayFixture.customer("bolt", Quota.UNLIMITED, "key-new")));
-		prove();
-		answerAll();
+		confirmConfig();
+		completeStoreRequests();
 		Assertions.assertThat(this.f.workers.lastRun().call.customer()).isEqualTo("bolt");
 	}
 
 	// The VM is cut off from the store, and meanwhile a stolen key is revoked. Its thief
 	// could use this VM for as long as the cut lasts.
 	@Test
-	void runsNothingWithAKeyThatMayHaveBeenRevokedTooLongAgo() {
-		this.f.timer.advance(REVOKED_MS);
+	void refusesAKeyWhenTheConfigurationIsTooOld() {
+		this.f.timer.advance(REVOCATION_BOUND_MS);
 		Call c = this.f.callWithKey("safe", "key-1");
-		answerAll();
+		completeStoreRequests();
 		Assertions.assertThat(c.caller().status).isEqualTo(503);
-		Assertions.assertThat(c.caller().refusal.code()).isEqualTo(RefusalReason.KEY_UNPROVEN);
-		Assertions.assertThat(runs()).isZero();
+		Assertions.assertThat(c.caller().refusal.reason()).isEqualTo(RefusalReason.KEY_UNPROVEN);
+		Assertions.assertThat(runCount()).isZero();
 	}
 
 	@Test
-	void runsItOnceTheStoreHasAnswered() {
-		this.f.timer.advance(REVOKED_MS);
+	void runsTheRequestAfterTheStoreConfirmsTheKey() {
+		this.f.timer.advance(REVOCATION_BOUND_MS);
 		this.f.callWithKey("safe", "key-1");
-		Assertions.assertThat(runs()).isZero();
-		prove();
-		answerAll();
-		Assertions.assertThat(runs()).isEqualTo(1);
+		Assertions.assertThat(runCount()).isZero();
+		confirmConfig();
+		completeStoreRequests();
+		Assertions.assertThat(runCount()).isEqualTo(1);
 	}
 
 	// The store is slow, and a caller has waited for its permission. Counted from then
 	// on,
 	// its time would be longer than it waits, and its worker would go on for nobody.
 	@Test
-	void theTimeThatAProofTakesIsTheCallers() {
-		this.f.timer.advance(REVOKED_MS);
+	void revalidationTimeCountsAgainstTheDeadline() {
+		this.f.timer.advance(REVOCATION_BOUND_MS);
 		this.f.callWithKey("safe", "key-1");
 		this.f.timer.advance(300);
-		prove();
-		answerAll();
+		confirmConfig();
+		completeStoreRequests();
 		Assertions.assertThat(this.f.workers.lastRun().call.timeoutMs()).isEqualTo(500);
 	}
 
 	// A caller waits for its permission at a store that is silent. Its own time passes,
 	// and it could have been served by another VM.
 	@Test
-	void tellsACallerInTimeThatTheStoreIsSilent() {
-		this.f.timer.advance(REVOKED_MS);
+	void refusesInTimeWhenTheStoreDoesNotRespond() {
+		this.f.timer.advance(REVOCATION_BOUND_MS);
 		Call c = this.f.callWithKey("safe", "key-1");
 		this.f.timer.advance(500);
 		Assertions.assertThat(c.caller().status).isEqualTo(503);
-		prove();
-		answerAll();
+		confirmConfig();
+		completeStoreRequests();
 		Assertions.assertThat(c.caller().responseCount).isEqualTo(1);
-		Assertions.assertThat(runs()).isZero();
+		Assertions.assertThat(runCount()).isZero();
 	}
 
 	@Test
-	void aCallerWhoLeavesWhileTheStoreIsAskedIsForgotten() {
-		this.f.timer.advance(REVOKED_MS);
+	void cancelledRequestIsDroppedDuringRevalidation() {
+		this.f.timer.advance(REVOCATION_BOUND_MS);
 		Call c = this.f.callWithKey("safe", "key-1");
 		c.disconnect().run();
-		prove();
-		answerAll();
-		Assertions.assertThat(runs()).isZero();
+		confirmConfig();
+		completeStoreRequests();
+		Assertions.assertThat(runCount()).isZero();
 		Assertions.assertThat(this.f.gateway.inProgress()).isZero();
 	}
 
 	// The machine is suspended for six seconds. Its steady clock does not count them, and
 	// by that clock the configuration was proved a moment ago.
 	@Test
-	void aSuspendedMachineNoticesThatItsProofIsOld() {
+	void suspensionAgesTheConfiguration() {
 		this.f.wallClockOffsetMs += 6_000;
 		this.f.callWithKey("safe", "key-1");
-		Assertions.assertThat(runs()).isZero();
-		Assertions.assertThat(this.questions).hasSize(1);
+		Assertions.assertThat(runCount()).isZero();
+		Assertions.assertThat(this.storeRequests).hasSize(1);
 	}
 
 	// Someone sets the clock back. A proof whose age were counted by it would never end.
 	@Test
-	void aClockThatIsSetBackMakesNoProofYounger() {
+	void clockSetBackDoesNotReduceTheConfigurationAge() {
 		this.f.wallClockOffsetMs -= 60_000;
-		this.f.timer.advance(REVOKED_MS);
+		this.f.timer.advance(REVOCATION_BOUND_MS);
 		this.f.callWithKey("safe", "key-1");
-		Assertions.assertThat(runs()).isZero();
+		Assertions.assertThat(runCount()).isZero();
 	}
 
 	// The clock is set back by a minute, and then the machine is suspended. By the time
 	// of
 	// day the proof is younger than it was.
 	@Test
-	void aClockThatIsSetBackHidesNoSuspension() {
+	void clockSetBackDoesNotHideASuspension() {
 		this.f.wallClockOffsetMs -= 60_000;
 		this.f.gateway.elapsedMs();
 		this.f.wallClockOffsetMs += 6_000;
 		this.f.callWithKey("safe", "key-1");
-		Assertions.assertThat(runs()).isZero();
-		Assertions.assertThat(this.questions).hasSize(1);
+		Assertions.assertThat(runCount()).isZero();
+		Assertions.assertThat(this.storeRequests).hasSize(1);
 	}
 
 	// The store answers slowly: the operator revokes a key just after it has read it for
 	// this VM. Counted from the answer, the key would be good for longer than it may.
 	@Test
-	void aProofIsAsOldAsItsQuestion() {
+	void configurationAgeCountsFromTheRequest() {
 		this.f.timer.advance(1_000);
-		long asked = this.f.gateway.elapsedMs();
+		long requestedAt = this.f.gateway.elapsedMs();
 		this.f.timer.advance(4_000);
-		this.f.gateway.configConfirmed(asked);
+		this.f.gateway.configConfirmed(requestedAt);
 		this.f.timer.advance(1_000);
 		this.f.callWithKey("safe", "key-1");
-		Assertions.assertThat(runs()).isZero();
+		Assertions.assertThat(runCount()).isZero();
 	}
 
 	// A proof that is renewed only when it has ended would leave no time to serve in
 	// when the store is lost right then.
 	@Test
-	void renewsItsProofWhileCallersCome() {
+	void refreshesTheConfigurationEarlyUnderTraffic() {
 		this.f.timer.advance(1_000);
 		this.f.callWithKey("safe", "key-1");
-		Assertions.assertThat(this.questions).isEmpty();
+		Assertions.assertThat(this.storeRequests).isEmpty();
 		this.f.timer.advance(500);
 		this.f.callWithKey("safe", "key-1");
-		Assertions.assertThat(this.questions).hasSize(1);
-		Assertions.assertThat(runs()).isEqualTo(2);
+		Assertions.assertThat(this.storeRequests).hasSize(1);
+		Assertions.assertThat(runCount()).isEqualTo(2);
 	}
 
 	@Test
-	void aKeyThatIsGoneIsDenied() {
+	void removedKeyIsRejected() {
 		this.f.gateway.configure(GatewayFixture.table(2, GatewayFixture.customer("acme", Quota.UNLIMITED, "key-2")));
 		Assertions.assertThat(this.f.callWithKey("safe", "key-1").caller().status).isEqualTo(401);
 		this.f.callWithKey("safe", "key-2");
-		Assertions.assertThat(runs()).isEqualTo(1);
+		Assertions.assertThat(runCount()).isEqualTo(1);
 	}
 
 }
--- a/src/test/java/io/shallotspur/gateway/FakeWorkers.java
+++ b/src/test/java/io/shallotspur/gateway/FakeWorkers.java
@@ -74,7 +74,7 @@
 			this.listener.onHead(new ResponseHead(status, List.of(), ResponseAuthenticity.SIGNED, false, false, WorkerNews.NONE));
 		}
 
-		void respondWithLimit(WorkerLimit limit) {
+		void respondWithLimit(WorkerRateLimit limit) {
 			this.listener
 				.onHead(new ResponseHead(200, List.of(), ResponseAuthenticity.SIGNED, false, false, new WorkerNews(null, limit)));
 			this.listener.onBytes("fine".getBytes());
--- a/src/test/java/io/shallotspur/gateway/HoldQueueTests.java
+++ b/src/test/java/io/shallotspur/gateway/HoldQueueTests.java
@@ -288,8 +288,8 @@
 	// comes back within a second waits in vain once more, and has no third try.
 	@Test
 	void sendsALateCallerBackAfterTheBurst() {
-		Assertions.assertThat(RetryAdvice.afterLateMs(9_000, 2_000, 0)).isEqualTo(3_000);
-		Assertions.assertThat(RetryAdvice.afterLateMs(9_000, 2_000, 1)).isEqualTo(1_800);
+		Assertions.assertThat(RetryAfter.lateDelayMs(9_000, 2_000, 0)).isEqualTo(3_000);
+		Assertions.assertThat(RetryAfter.lateDelayMs(9_000, 2_000, 1)).isEqualTo(1_800);
 		this.f.addWorker("d1", "llm", WorkerStage.DECODE);
 		Call c = waitInVain();
 		Assertions.assertThat(c.caller().status).isEqualTo(503);
@@ -341,8 +341,8 @@
 
 	@Test
 	void callsALongAnswerBackWhileItCanStillEndInTime() {
-		Assertions.assertThat(RetryAdvice.afterLateMs(11_000, 6_000, 0)).isEqualTo(2_000);
-		Assertions.assertThat(RetryAdvice.afterLateMs(11_000, 9_000, 0)).isEqualTo(500);
+		Assertions.assertThat(RetryAfter.lateDelayMs(11_000, 6_000, 0)).isEqualTo(2_000);
+		Assertions.assertThat(RetryAfter.lateDelayMs(11_000, 9_000, 0)).isEqualTo(500);
 	}
 
 }
--- a/src/test/java/io/shallotspur/gateway/QuotaTests.java
+++ b/src/test/java/io/shallotspur/gateway/QuotaTests.java
@@ -19,9 +19,9 @@
 
 	private static final long WINDOW_MS = 8_000;
 
-	private static final QuotaBounds BOUNDS = new QuotaBounds(WINDOW_MS, 0.1, 20_000);
+	private static final QuotaTolerance TOLERANCE = new QuotaTolerance(WINDOW_MS, 0.1, 20_000);
 
-	private static final int MOST_COST = 6_200;
+	private static final int MAX_COST = 6_200;
 
 	private static final Quota TOKENS = new Quota(QuotaUnit.TOKENS, 10_000, 10_000, 200);
 
@@ -39,14 +39,14 @@
 	}
 
 	@Test
-	void plainCallsCountAsTheOperatorSays() {
+	void plainRequestsHaveTheConfiguredCost() {
 		Assertions.assertThat(TOKENS.plainCost()).isEqualTo(200);
 		Assertions.assertThat(TOKENS.cost(1_460, 80)).isEqualTo(1_540);
 		Assertions.assertThat(new Quota(QuotaUnit.REQUESTS, 5, 5, 200).cost(1_460, 80)).isEqualTo(1);
 	}
 
 	@Test
-	void refusesWhatIsBeyondTheQuotaWithAnHonestAdvice() {
+	void requestOverQuotaIsRefusedWithAnAccurateRetryDelay() {
 		GatewayFixture f = gateway(ACME);
 		int served = 0;
 		Call c = f.callWithKey("safe", "key-1");
@@ -64,7 +64,7 @@
 	// Workers are full and refuse. Were the request charged all the same, its caller, who
 	// is told to come back, would pay for each try.
 	@Test
-	void whatHasNotRunIsNotCharged() {
+	void requestThatDidNotRunIsNotCharged() {
 		GatewayFixture f = gateway(ACME);
 		for (int i = 0; i < 200; i++) {
 			Call c = f.callWithKey("unsafe", "key-1");
@@ -75,7 +75,7 @@
 
 	// One customer sends many times its usual. The others must not notice.
 	@Test
-	void oneCustomersQuotaIsNotAnothers() {
+	void quotasAreIndependentPerCustomer() {
 		GatewayFixture f = new GatewayFixture().addPlainWorkers(1);
 		f.gateway.configure(GatewayFixture.table(1, ACME, GatewayFixture.customer("bolt", TOKENS, "key-2")));
 		f.timer.advance(20_000);
@@ -89,7 +89,7 @@
 	// The part of a VM is smaller than one request. It must let one through now and then
 	// and not none.
 	@Test
-	void aRequestLargerThanTheBurstPassesNowAndThen() {
+	void requestLargerThanTheBurstIsAdmittedPeriodically() {
 		GatewayFixture f = gateway(customer(1_000, 1_000));
 		f.addWorker("d1", "llm", WorkerStage.DECODE);
 		Assertions.assertThat(f.callWithKeyAndPrompt("once", "key-1", 6_000).caller().completed).isFalse();
@@ -99,7 +99,7 @@
 	// The operator lowers the quota far below what the customer sends. What is left of
 	// the former burst must not be spent under the new quota.
 	@Test
-	void aLowerQuotaHoldsAtOnce() {
+	void loweredQuotaTakesEffectImmediately() {
 		GatewayFixture f = gateway(customer(100_000, 100_000));
 		f.gateway.configure(GatewayFixture.table(2, customer(1_000, 1_000)));
 		int served = 0;
@@ -112,11 +112,11 @@
 	// All VMs lose power. Each comes back without knowing what was spent a second before;
 	// with a full burst at each start a customer could spend it again and again.
 	@Test
-	void aVmThatHasJustStartedHasNoBurst() {
-		QuotaBook b = new QuotaBook(BOUNDS, 1_000);
+	void newlyStartedVmHasNoBurst() {
+		QuotaLimiter limiter = new QuotaLimiter(TOLERANCE, 1_000);
 		Customer c = customer(10_000, 50_000);
 		double spent = 0;
-		while (b.take(c, 200, 1, 1_000) == 0) {
+		while (limiter.charge(c, 200, 1, 1_000) == 0) {
 			spent += 200;
 		}
 		Assertions.assertThat(spent).isLessThanOrEqualTo(5_000);
@@ -125,34 +125,34 @@
 	// A customer's long prompts have used its quota up. Its plain calls take a thirtieth
 	// of one each, and would all be refused for the sake of one more.
 	@Test
-	void plainCallsPassWhileLongPromptsDoNot() {
-		QuotaBook b = new QuotaBook(BOUNDS, -100_000);
+	void plainRequestsPassWhileLongPromptsAreRefused() {
+		QuotaLimiter limiter = new QuotaLimiter(TOLERANCE, -100_000);
 		Customer c = customer(100_000, 100_000);
 		for (long now = 0; now < 20_000; now += 10) {
-			b.take(c, 6_200, 1, now);
-			Assertions.assertThat(b.take(c, 200, 1, now)).isZero();
+			limiter.charge(c, 6_200, 1, now);
+			Assertions.assertThat(limiter.charge(c, 200, 1, now)).isZero();
 		}
 	}
 
 	// Callers of a customer that asks for half of its quota all come to one of three VMs
 	// for a while. Its part alone would refuse a third of them.
 	@Test
-	void aBurstAtOneVmPassesWithinWhatIsTolerated() {
-		QuotaBook b = new QuotaBook(new QuotaBounds(WINDOW_MS, 0.1, 190_000), -100_000);
+	void burstAtOneVmPassesWithinTheTolerance() {
+		QuotaLimiter limiter = new QuotaLimiter(new QuotaTolerance(WINDOW_MS, 0.1, 190_000), -100_000);
 		Customer c = customer(47_000, 47_000);
 		for (long now = 0; now < 4_000; now += 250) {
-			Assertions.assertThat(b.take(c, 5_900, 1.0 / 3, now)).isZero();
+			Assertions.assertThat(limiter.charge(c, 5_900, 1.0 / 3, now)).isZero();
 		}
 	}
 
 	@Test
-	void tellsWhenThereWillBeRoom() {
-		QuotaBook b = new QuotaBook(BOUNDS, -100_000);
+	void reportsTheTimeUntilQuotaIsAvailable() {
+		QuotaLimiter limiter = new QuotaLimiter(TOLERANCE, -100_000);
 		Customer c = customer(1_000, 1_000);
-		b.take(c, 20_000, 1, 3_000);
-		long wait = b.take(c, 200, 1, 5_000);
+		limiter.charge(c, 20_000, 1, 3_000);
+		long wait = limiter.charge(c, 200, 1, 5_000);
 		Assertions.assertThat(wait).isBetween(7_000L, 7_500L);
-		Assertions.assertThat(b.take(c, 200, 1, 5_000 + wait)).isZero();
+		Assertions.assertThat(limiter.charge(c, 200, 1, 5_000 + wait)).isZero();
 	}
 
 	// Several VMs with equal parts, callers spread over them in any way, VMs that start
@@ -160,48 +160,48 @@
 	// the operator tolerates, beside a request for each VM that the operator's slack is
 	// for, and for each start one more and what a VM may spend at first.
 	@Test
-	void allVmsTogetherKeepTheQuotaInEachWindow() {
+	void allVmsTogetherStayWithinTheQuotaInEachWindow() {
 		for (long seed = 0; seed < 40; seed++) {
 			Random r = new Random(seed);
 			int vms = 1 + r.nextInt(5);
 			Customer c = customer(5_000 + r.nextInt(50_000), 5_000 + r.nextInt(50_000));
-			List<QuotaBook> books = new ArrayList<>();
+			List<QuotaLimiter> limiters = new ArrayList<>();
 			for (int i = 0; i < vms; i++) {
-				books.add(new QuotaBook(BOUNDS, -100_000));
+				limiters.add(new QuotaLimiter(TOLERANCE, -100_000));
 			}
-			List<Spent> spent = new ArrayList<>();
+			List<Charge> charges = new ArrayList<>();
 			List<Long> starts = new ArrayList<>();
 			for (long now = 0; now < 30_000; now += 1 + r.nextInt(20)) {
 				int vm = (r.nextInt(3) == 0) ? 0 : r.nextInt(vms);
 				if (r.nextInt(1_000) == 0) {
-					books.set(vm, new QuotaBook(BOUNDS, now));
+					limiters.set(vm, new QuotaLimiter(TOLERANCE, now));
 					starts.add(now);
 				}
-				double cost = 200 + r.nextInt(MOST_COST - 200);
-				if (books.get(vm).take(c, cost, 1.0 / vms, now) == 0) {
-					spent.add(new Spent(now, cost));
+				double cost = 200 + r.nextInt(MAX_COST - 200);
+				if (limiters.get(vm).charge(c, cost, 1.0 / vms, now) == 0) {
+					charges.add(new Charge(now, cost));
 				}
 			}
-			assertKept(spent, starts, c.quota(), vms, seed);
+			assertWithinQuota(charges, starts, c.quota(), vms, seed);
 		}
 	}
 
-	private static void assertKept(List<Spent> spent, List<Long> starts, Quota q, int vms, long seed) {
-		for (int from = 0; from < spent.size(); from++) {
-			long begin = spent.get(from).at();
-			double sum = spent.stream()
+	private static void assertWithinQuota(List<Charge> charges, List<Long> starts, Quota q, int vms, long seed) {
+		for (int from = 0; from < charges.size(); from++) {
+			long begin = charges.get(from).at();
+			double sum = charges.stream()
 				.filter((x) -> x.at() >= begin && x.at() < begin + WINDOW_MS)
-				.mapToDouble(Spent::cost)
+				.mapToDouble(Charge::cost)
 				.sum();
-			long started = starts.stream().filter((t) -> t >= begin && t < begin + WINDOW_MS).count();
+			long startCount = starts.stream().filter((t) -> t >= begin && t < begin + WINDOW_MS).count();
 			double quota = q.perSecond() * WINDOW_MS / 1_000 + q.burst();
-			double most = quota + (BOUNDS.overshoot() * quota + BOUNDS.slack()) / 2 + (vms + started) * MOST_COST
-					+ started * q.perSecond() / vms / 2;
-			Assertions.assertThat(sum).as("seed %d", seed).isLessThanOrEqualTo(most);
+			double max = quota + (TOLERANCE.overshoot() * quota + TOLERANCE.slack()) / 2 + (vms + startCount) * MAX_COST
+					+ startCount * q.perSecond() / vms / 2;
+			Assertions.assertThat(sum).as("seed %d", seed).isLessThanOrEqualTo(max);
 		}
 	}
 
-	private record Spent(long at, double cost) {
+	private record Charge(long at, double cost) {
 
 	}
 
--- a/src/test/java/io/shallotspur/gateway/LimitedFleet.java
+++ b/src/test/java/io/shallotspur/gateway/RateLimitedFleet.java
@@ -18,7 +18,7 @@
  * Several VMs in virtual time before plain workers that may name limits. Callers use the
  * VMs that {@link EntryVmDirectory} names, and now and then one that stands by.
  */
-final class LimitedFleet {
+final class RateLimitedFleet {
 
 	private static final long WINDOW_MS = 4_000;
 
@@ -26,15 +26,15 @@
 	private static final long SETTLING_MS = 3_000;
 
 	// What a VM was told this long ago binds it.
-	private static final long NOTICE_MS = 500;
+	private static final long PROPAGATION_MS = 500;
 
-	private static final double TOLERATED = 1.5;
+	private static final double TOLERATED_FACTOR = 1.5;
 
-	private static final int BESIDE = 5;
+	private static final int TOLERATED_EXTRA = 5;
 
-	private static final long ANSWER_MS = 80;
+	private static final long SERVICE_TIME_MS = 80;
 
-	private static final long ANSWERED_BY_MS = 1_000;
+	private static final long RESPONSE_DEADLINE_MS = 1_000;
 
 	private static final int STEP_MS = 10;
 
@@ -45,23 +45,23 @@
 	private final List<EntryVm> entries = new ArrayList<>();
 
 	// What each worker has named, and since when.
-	private final Map<String, TreeMap<Long, WorkerLimit>> history = new HashMap<>();
+	private final Map<String, TreeMap<Long, WorkerRateLimit>> limitHistory = new HashMap<>();
 
-	private final Map<String, Long> toldAt = new HashMap<>();
+	private final Map<String, Long> firstReportedAt = new HashMap<>();
 
-	private final Deque<Due> due = new ArrayDeque<>();
+	private final Deque<PendingResponse> pending = new ArrayDeque<>();
 
-	private final List<Arrived> arrived = new ArrayList<>();
+	private final List<ReceivedRequest> received = new ArrayList<>();
 
-	private final Map<GatewayFixture, Integer> seen = new HashMap<>();
+	private final Map<GatewayFixture, Integer> collectedRuns = new HashMap<>();
 
-	private final List<Sent> calls = new ArrayList<>();
+	private final List<CallerRequest> calls = new ArrayList<>();
 
-	private double firstShare;
+	private double firstVmShare;
 
 	private long now;
 
-	LimitedFleet(int vms, int workers, long seed) {
+	RateLimitedFleet(int vms, int workers, long seed) {
 		this.random = new Random(seed);
 		for (int i = 0; i < vms; i++) {
 			this.entries.add(new EntryVm("vms/" + i, "10.1.0." + i + ":80", "r", "hall-" + i % 3, 1, false));
@@ -78,8 +78,8 @@
 		return f;
 	}
 
-	void names(String worker, WorkerLimit limit) {
-		this.history.computeIfAbsent(worker, (w) -> new TreeMap<>()).put(this.now, limit);
+	void setLimit(String worker, WorkerRateLimit limit) {
+		this.limitHistory.computeIfAbsent(worker, (w) -> new TreeMap<>()).put(this.now, limit);
 	}
 
 	long now() {
@@ -95,7 +95,7 @@
 	void run(long ms, double perSecond, double strayShare) {
 		long end = this.now + ms;
 		while (this.now < end) {
-			answer();
+			sendDueResponses();
 			double expected = perSecond * STEP_MS / 1_000;
 			while (this.random.nextDouble() < expected) {
 				call(strayShare);
@@ -103,7 +103,7 @@
 			}
 			this.now += STEP_MS;
 			this.vms.forEach((f) -> f.timer.advance(STEP_MS));
-			collect();
+			collectRequests();
 		}
 	}
 
@@ -112,33 +112,33 @@
 		List<GatewayFixture> l = this.vms.stream()
 			.filter((f) -> stray || !f.gateway.entryVms().isStandby(f.timer.now()))
 			.toList();
-		boolean first = this.random.nextDouble() < this.firstShare;
+		boolean first = this.random.nextDouble() < this.firstVmShare;
 		call(first ? l.get(0) : l.get(this.random.nextInt(l.size())));
 	}
 
 	private void call(GatewayFixture f) {
-		this.calls.add(new Sent(this.now, f.call("unsafe")));
-		collect();
+		this.calls.add(new CallerRequest(this.now, f.call("unsafe")));
+		collectRequests();
 	}
 
 	/**
 	 * Has callers prefer the first VM that serves.
 	 * @param share the part that uses it in any case; the others use any
 	 */
-	void prefersFirst(double share) {
-		this.firstShare = share;
+	void preferFirst(double share) {
+		this.firstVmShare = share;
 	}
 
 	/**
 	 * Has a VM taken out of the set that callers are told to use, or into it again.
 	 * @param vm the VM
 	 * @param crowded whether it says that callers wait for it
-	 * @param hears which VMs hear of it
+	 * @param receivers which VMs hear of it
 	 */
-	void crowded(int vm, boolean crowded, IntPredicate hears) {
+	void setCrowded(int vm, boolean crowded, IntPredicate receivers) {
 		EntryVm e = this.entries.get(vm).withOverloaded(crowded);
 		this.entries.set(vm, e);
-		IntStream.range(0, this.vms.size()).filter(hears).forEach((i) -> this.vms.get(i).gateway.entryVms().register(e));
+		IntStream.range(0, this.vms.size()).filter(receivers).forEach((i) -> this.vms.get(i).gateway.entryVms().register(e));
 	}
 
 	int size() {
@@ -146,33 +146,33 @@
 	}
 
 	// Requests that have come to workers since the last look.
-	private void collect() {
+	private void collectRequests() {
 		for (int i = 0; i < this.vms.size(); i++) {
 			GatewayFixture f = this.vms.get(i);
 			List<FakeWorkers.Run> runs = f.workers.runs;
-			for (int r = this.seen.getOrDefault(f, 0); r < runs.size(); r++) {
+			for (int r = this.collectedRuns.getOrDefault(f, 0); r < runs.size(); r++) {
 				String worker = runs.get(r).call.worker().id();
-				this.arrived.add(new Arrived(this.now, worker, i, told(i, worker)));
-				this.due.add(new Due(this.now + ANSWER_MS, runs.get(r), i, worker));
+				this.received.add(new ReceivedRequest(this.now, worker, i, isInformed(i, worker)));
+				this.pending.add(new PendingResponse(this.now + SERVICE_TIME_MS, runs.get(r), i, worker));
 			}
-			this.seen.put(f, runs.size());
+			this.collectedRuns.put(f, runs.size());
 		}
 	}
 
-	private boolean told(int vm, String worker) {
-		Long at = this.toldAt.get(vm + worker);
-		return at != null && this.now - at >= NOTICE_MS;
+	private boolean isInformed(int vm, String worker) {
+		Long at = this.firstReportedAt.get(vm + worker);
+		return at != null && this.now - at >= PROPAGATION_MS;
 	}
 
-	private void answer() {
-		while (!this.due.isEmpty() && this.due.peekFirst().at() <= this.now) {
-			Due d = this.due.removeFirst();
-			TreeMap<Long, WorkerLimit> h = this.history.get(d.worker());
-			WorkerLimit limit = (h != null) ? h.lastEntry().getValue() : WorkerLimit.NONE;
-			if (limit.named()) {
-				this.toldAt.putIfAbsent(d.vm() + d.worker(), this.now);
+	private void sendDueResponses() {
+		while (!this.pending.isEmpty() && this.pending.peekFirst().at() <= this.now) {
+			PendingResponse response = this.pending.removeFirst();
+			TreeMap<Long, WorkerRateLimit> limits = this.limitHistory.get(response.worker());
+			WorkerRateLimit limit = (limits != null) ? limits.lastEntry().getValue() : WorkerRateLimit.UNLIMITED;
+			if (limit.isLimited()) {
+				this.firstReportedAt.putIfAbsent(response.vm() + response.worker(), this.now);
 			}
-			d.run().respondWithLimit(limit);
+			response.run().respondWithLimit(limit);
 		}
 	}
 
@@ -182,30 +182,30 @@
 	 * limit changes, the highest one counts of which VMs can have heard in the window.
 	 * @return a line for each
 	 */
-	List<String> broken() {
-		List<String> l = new ArrayList<>();
-		this.history.forEach((worker, h) -> {
-			long from = h.firstEntry().getKey() + SETTLING_MS;
-			List<Long> times = this.arrived.stream()
-				.filter((a) -> a.worker().equals(worker) && a.told() && a.at() >= from)
-				.map(Arrived::at)
+	List<String> violations() {
+		List<String> lines = new ArrayList<>();
+		this.limitHistory.forEach((worker, limits) -> {
+			long from = limits.firstEntry().getKey() + SETTLING_MS;
+			List<Long> times = this.received.stream()
+				.filter((a) -> a.worker().equals(worker) && a.informed() && a.at() >= from)
+				.map(ReceivedRequest::at)
 				.toList();
 			for (long t : times) {
-				long n = times.stream().filter((u) -> u >= t && u < t + WINDOW_MS).count();
-				double most = TOLERATED * highest(h, t) * WINDOW_MS / 1_000 + BESIDE;
-				if (n > most) {
-					l.add(worker + " at " + t + " ms: " + n + " of " + most + " " + h);
+				long count = times.stream().filter((u) -> u >= t && u < t + WINDOW_MS).count();
+				double max = TOLERATED_FACTOR * highestLimit(limits, t) * WINDOW_MS / 1_000 + TOLERATED_EXTRA;
+				if (count > max) {
+					lines.add(worker + " at " + t + " ms: " + count + " of " + max + " " + limits);
 				}
 			}
 		});
-		return l;
+		return lines;
 	}
 
-	private static double highest(TreeMap<Long, WorkerLimit> h, long from) {
-		return h.subMap(h.floorKey(from - NOTICE_MS - ANSWER_MS), true, from + WINDOW_MS, false)
+	private static double highestLimit(TreeMap<Long, WorkerRateLimit> limits, long from) {
+		return limits.subMap(limits.floorKey(from - PROPAGATION_MS - SERVICE_TIME_MS), true, from + WINDOW_MS, false)
 			.values()
 			.stream()
-			.mapToDouble(WorkerLimit::perSecond)
+			.mapToDouble(WorkerRateLimit::perSecond)
 			.max()
 			.orElseThrow();
 	}
@@ -216,8 +216,8 @@
 	 * @param from since when, in milliseconds
 	 * @return the number of requests, of all VMs
 	 */
-	long arrivedSince(String worker, long from) {
-		return this.arrived.stream().filter((a) -> a.worker().equals(worker) && a.at() >= from).count();
+	long receivedSince(String worker, long from) {
+		return this.received.stream().filter((a) -> a.worker().equals(worker) && a.at() >= from).count();
 	}
 
 	/**
@@ -226,7 +226,7 @@
 	 * @return from 0 to 1
 	 */
 	double servedShare(long from) {
-		List<Sent> l = this.calls.stream().filter((c) -> c.at() >= from && c.at() < this.now - ANSWERED_BY_MS).toList();
+		List<CallerRequest> l = this.calls.stream().filter((c) -> c.at() >= from && c.at() < this.now - RESPONSE_DEADLINE_MS).toList();
 		return (double) l.stream().filter((c) -> c.call().caller().status == 200).count() / l.size();
 	}
 
@@ -234,7 +234,7 @@
 	 * Returns the advice that refused callers got.
 	 * @return milliseconds each
 	 */
-	List<Long> advice() {
+	List<Long> retryDelays() {
 		return this.calls.stream()
 			.map((c) -> c.call().caller().refusal)
 			.filter(Objects::nonNull)
@@ -242,15 +242,15 @@
 			.toList();
 	}
 
-	private record Sent(long at, Call call) {
+	private record CallerRequest(long at, Call call) {
 
 	}
 
-	private record Due(long at, FakeWorkers.Run run, int vm, String worker) {
+	private record PendingResponse(long at, FakeWorkers.Run run, int vm, String worker) {
 
 	}
 
-	private record Arrived(long at, String worker, int vm, boolean told) {
+	private record ReceivedRequest(long at, String worker, int vm, boolean informed) {
 
 	}
 
--- a/src/test/java/io/shallotspur/gateway/LimitTests.java
+++ b/src/test/java/io/shallotspur/gateway/WorkerRateLimitTests.java
@@ -10,44 +10,44 @@
 /**
  * Tests of the limits that workers name: over several VMs, and at one.
  */
-class LimitTests {
+class WorkerRateLimitTests {
 
 	private static final long SECOND_MS = 1_000;
 
-	private static WorkerLimit limit(double perSecond) {
-		return new WorkerLimit(perSecond);
+	private static WorkerRateLimit limit(double perSecond) {
+		return new WorkerRateLimit(perSecond);
 	}
 
 	// Guards against a worker in need that is given more than the limit that it named.
 	@Test
-	void aWorkerThatNamesALimitGetsNoMoreFromAllVmsTogether() {
-		LimitedFleet f = new LimitedFleet(8, 3, 1);
+	void allVmsTogetherStayWithinAWorkersLimit() {
+		RateLimitedFleet f = new RateLimitedFleet(8, 3, 1);
 		f.run(8_000, 43, 0.05);
-		f.names("p1", limit(4.9));
+		f.setLimit("p1", limit(4.9));
 		f.run(20_000, 43, 0.05);
-		Assertions.assertThat(f.broken()).isEmpty();
+		Assertions.assertThat(f.violations()).isEmpty();
 	}
 
 	// Guards against VMs that keep to a limit each for itself, or save up and send
 	// together: fleets of any size, limits that change, VMs that differ on who serves.
 	@Test
-	void noFleetSendsMoreThanTheLimit() {
+	void randomFleetsStayWithinTheLimits() {
 		for (long seed = 0; seed < 60; seed++) {
 			Random r = new Random(seed);
-			LimitedFleet f = new LimitedFleet(1 + r.nextInt(40), 3, seed);
+			RateLimitedFleet f = new RateLimitedFleet(1 + r.nextInt(40), 3, seed);
 			double perSecond = 20 + r.nextInt(80);
-			double stray = 0.3 * r.nextDouble();
-			f.run(3_000, perSecond, stray);
+			double strayShare = 0.3 * r.nextDouble();
+			f.run(3_000, perSecond, strayShare);
 			for (int i = 0; i < 6; i++) {
-				f.names("p" + (1 + r.nextInt(3)), limit(12 * r.nextDouble() * r.nextDouble()));
+				f.setLimit("p" + (1 + r.nextInt(3)), limit(12 * r.nextDouble() * r.nextDouble()));
 				int vm = r.nextInt(f.size());
 				boolean crowded = r.nextBoolean();
-				f.crowded(vm, crowded, (v) -> v % 2 == 0);
-				f.run(SECOND_MS, perSecond, stray);
-				f.crowded(vm, crowded, (v) -> true);
-				f.run(4_000 + r.nextInt(4_000), perSecond, stray);
+				f.setCrowded(vm, crowded, (v) -> v % 2 == 0);
+				f.run(SECOND_MS, perSecond, strayShare);
+				f.setCrowded(vm, crowded, (v) -> true);
+				f.run(4_000 + r.nextInt(4_000), perSecond, strayShare);
 			}
-			Assertions.assertThat(f.broken()).as("seed %d", seed).isEmpty();
+			Assertions.assertThat(f.violations()).as("seed %d", seed).isEmpty();
 		}
 	}
 
@@ -55,87 +55,87 @@
 	// forty
 	// VMs that all serve, a worker that takes one a second would get forty at once.
 	@Test
-	void manyVmsDoNotSendWhatEachHasSaved() {
-		LimitedFleet f = new LimitedFleet(40, 1, 5);
+	void idleVmsDoNotSendAccumulatedTokensTogether() {
+		RateLimitedFleet f = new RateLimitedFleet(40, 1, 5);
 		for (int vm = 0; vm < 40; vm++) {
-			f.crowded(vm, true, (v) -> true);
+			f.setCrowded(vm, true, (v) -> true);
 		}
-		f.names("p1", limit(1));
+		f.setLimit("p1", limit(1));
 		f.run(10_000, 200, 0);
 		f.run(60_000, 0, 0);
 		f.run(2_000, 400, 0);
-		Assertions.assertThat(f.broken()).isEmpty();
+		Assertions.assertThat(f.violations()).isEmpty();
 	}
 
 	// Guards against a limit that is kept so far below that callers are refused whom the
 	// workers would have served.
 	@Test
-	void workersInNeedAreGivenWhatTheyTake() {
-		LimitedFleet f = new LimitedFleet(8, 3, 2);
-		f.names("p1", limit(6));
-		f.names("p2", limit(12));
-		f.names("p3", limit(25));
+	void limitedWorkersReceiveMostOfTheirLimit() {
+		RateLimitedFleet f = new RateLimitedFleet(8, 3, 2);
+		f.setLimit("p1", limit(6));
+		f.setLimit("p2", limit(12));
+		f.setLimit("p3", limit(25));
 		f.run(5_000, 100, 0);
 		f.run(20_000, 100, 0);
-		Assertions.assertThat(f.arrivedSince("p1", 5_000)).isBetween(100L, 132L);
-		Assertions.assertThat(f.arrivedSince("p2", 5_000)).isBetween(210L, 262L);
-		Assertions.assertThat(f.arrivedSince("p3", 5_000)).isBetween(450L, 540L);
+		Assertions.assertThat(f.receivedSince("p1", 5_000)).isBetween(100L, 132L);
+		Assertions.assertThat(f.receivedSince("p2", 5_000)).isBetween(210L, 262L);
+		Assertions.assertThat(f.receivedSince("p3", 5_000)).isBetween(450L, 540L);
 	}
 
-	private static double used(int serving, double perSecond, double firstShare) {
-		LimitedFleet f = new LimitedFleet(8, 1, 6);
+	private static double utilization(int serving, double perSecond, double firstVmShare) {
+		RateLimitedFleet f = new RateLimitedFleet(8, 1, 6);
 		for (int vm = 0; vm < 8; vm++) {
-			f.crowded(vm, serving > 2, (v) -> true);
+			f.setCrowded(vm, serving > 2, (v) -> true);
 		}
-		f.prefersFirst(firstShare);
-		f.names("p1", limit(perSecond));
+		f.preferFirst(firstVmShare);
+		f.setLimit("p1", limit(perSecond));
 		f.run(4_000, 100, 0);
 		f.run(60_000, 100, 0);
-		Assertions.assertThat(f.broken()).isEmpty();
-		return f.arrivedSince("p1", 4_000) / (60 * perSecond);
+		Assertions.assertThat(f.violations()).isEmpty();
+		return f.receivedSince("p1", 4_000) / (60 * perSecond);
 	}
 
 	// Guards against parts that lie unused at VMs with few callers.
 	@Test
-	void whileCallersWantMoreMostOfALimitIsUsed() {
-		Assertions.assertThat(used(2, 5, 0)).isGreaterThan(0.85);
-		Assertions.assertThat(used(2, 40, 0)).isGreaterThan(0.85);
-		Assertions.assertThat(used(2, 5, 0.6)).isGreaterThan(0.70);
-		Assertions.assertThat(used(2, 40, 0.6)).isGreaterThan(0.70);
-		Assertions.assertThat(used(8, 1, 0)).isGreaterThan(0.5);
+	void saturatedLimitsAreMostlyUsed() {
+		Assertions.assertThat(utilization(2, 5, 0)).isGreaterThan(0.85);
+		Assertions.assertThat(utilization(2, 40, 0)).isGreaterThan(0.85);
+		Assertions.assertThat(utilization(2, 5, 0.6)).isGreaterThan(0.70);
+		Assertions.assertThat(utilization(2, 40, 0.6)).isGreaterThan(0.70);
+		Assertions.assertThat(utilization(8, 1, 0)).isGreaterThan(0.5);
 	}
 
 	// Guards against refusals while the limits of all workers together leave room: calls
 	// that come at uneven distances wait for a moment instead.
 	@Test
-	void callersWaitForALimitThatLeavesRoomInTime() {
-		LimitedFleet f = new LimitedFleet(8, 3, 3);
+	void requestsWaitBrieflyForALimitWithCapacity() {
+		RateLimitedFleet f = new RateLimitedFleet(8, 3, 3);
 		for (int w = 1; w <= 3; w++) {
-			f.names("p" + w, limit(16));
+			f.setLimit("p" + w, limit(16));
 		}
 		f.run(25_000, 43, 0);
 		Assertions.assertThat(f.servedShare(5_000)).isGreaterThan(0.97);
 	}
 
 	@Test
-	void nobodyIsRefusedWhileAWorkerTakesWhateverComes() {
-		LimitedFleet f = new LimitedFleet(8, 3, 4);
-		f.names("p1", limit(1));
-		f.names("p2", limit(0));
+	void noRequestIsRefusedWhileOneWorkerIsUnlimited() {
+		RateLimitedFleet f = new RateLimitedFleet(8, 3, 4);
+		f.setLimit("p1", limit(1));
+		f.setLimit("p2", limit(0));
 		f.run(20_000, 60, 0.2);
-		Assertions.assertThat(f.advice()).isEmpty();
+		Assertions.assertThat(f.retryDelays()).isEmpty();
 	}
 
 	// Guards against callers who wait although the limit leaves none for them in time.
 	@Test
-	void whatALimitLeavesNoRoomForIsRefusedAtOnce() {
+	void requestThatCannotBeSentInTimeIsRefusedImmediately() {
 		GatewayFixture f = new GatewayFixture().configured().addPlainWorkers(1);
 		f.call("safe");
 		f.workers.lastRun().respondWithLimit(limit(4));
 		Call first = f.call("safe");
 		Call second = f.call("safe");
 		Assertions.assertThat(first.caller().completed).isFalse();
-		Assertions.assertThat(second.caller().refusal.code()).isEqualTo(RefusalReason.WORKERS_LIMITED);
+		Assertions.assertThat(second.caller().refusal.reason()).isEqualTo(RefusalReason.WORKERS_LIMITED);
 		Assertions.assertThat(second.caller().status).isEqualTo(503);
 		Assertions.assertThat(second.caller().refusal.retryAfterMs()).isBetween(400L, 500L);
 		f.timer.advance(250);
@@ -144,7 +144,7 @@
 	}
 
 	@Test
-	void aCallerWhoLeavesGivesItsTimeToTheNext() {
+	void cancelledWaitReleasesItsReservation() {
 		GatewayFixture f = new GatewayFixture().configured().addPlainWorkers(1);
 		f.call("safe");
 		f.workers.lastRun().respondWithLimit(limit(4));
@@ -156,7 +156,7 @@
 
 	// Guards against a burst of those who wait when the limit falls meanwhile.
 	@Test
-	void whoWaitsKeepsToALimitThatHasFallen() {
+	void waitingRequestsRespectALoweredLimit() {
 		GatewayFixture f = new GatewayFixture().configured().addPlainWorkers(1);
 		f.call("safe");
 		f.call("safe");
@@ -173,23 +173,23 @@
 	// Guards against a limit that is lifted by an older answer, which overtakes on
 	// another connection; the worker would get a burst until its next answer.
 	@Test
-	void anOlderAnswerDoesNotEndALimit() {
-		NamedLimit l = new NamedLimit();
-		l.told(limit(4), 100, 180);
-		Assertions.assertThat(l.told(WorkerLimit.NONE, 120, 190)).isFalse();
-		Assertions.assertThat(l.limit()).isEqualTo(limit(4));
-		Assertions.assertThat(l.told(WorkerLimit.NONE, 181, 260)).isTrue();
+	void staleResponseDoesNotLiftALimit() {
+		WorkerRateLimiter limiter = new WorkerRateLimiter();
+		limiter.update(limit(4), 100, 180);
+		Assertions.assertThat(limiter.update(WorkerRateLimit.UNLIMITED, 120, 190)).isFalse();
+		Assertions.assertThat(limiter.limit()).isEqualTo(limit(4));
+		Assertions.assertThat(limiter.update(WorkerRateLimit.UNLIMITED, 181, 260)).isTrue();
 	}
 
 	@Test
-	void theLimitEndsWithTheFirstAnswerThatDoesNotNameIt() {
+	void firstLaterResponseWithoutALimitLiftsIt() {
 		GatewayFixture f = new GatewayFixture().configured().addPlainWorkers(1);
 		f.call("safe");
 		f.workers.lastRun().respondWithLimit(limit(5));
 		f.timer.advance(1_000);
 		f.call("safe");
 		f.timer.advance(10);
-		f.workers.lastRun().respondWithLimit(WorkerLimit.NONE);
+		f.workers.lastRun().respondWithLimit(WorkerRateLimit.UNLIMITED);
 		for (int i = 0; i < 20; i++) {
 			f.call("safe");
 		}
@@ -198,23 +198,23 @@
 
 	// Guards against a worker that is never used again since nobody asks it.
 	@Test
-	void aWorkerThatTookNothingIsAskedAgain() {
+	void workerWithAZeroLimitIsProbed() {
 		GatewayFixture f = new GatewayFixture().configured().addPlainWorkers(3);
 		f.call("safe");
 		String limited = f.workers.lastRun().call.worker().id();
 		f.workers.lastRun().respondWithLimit(limit(0));
-		long before = f.workers.runs.size();
+		long runsBefore = f.workers.runs.size();
 		for (int i = 0; i < 100; i++) {
 			f.timer.advance(100);
 			f.call("safe");
-			f.workers.lastRun().respondWithLimit(WorkerLimit.NONE);
+			f.workers.lastRun().respondWithLimit(WorkerRateLimit.UNLIMITED);
 		}
-		Assertions.assertThat(f.workers.runs.stream().skip(before).filter((r) -> r.call.worker().id().equals(limited)))
+		Assertions.assertThat(f.workers.runs.stream().skip(runsBefore).filter((r) -> r.call.worker().id().equals(limited)))
 			.isNotEmpty();
 	}
 
 	@Test
-	void aWorkerThatStartsAgainNamesNoLimit() {
+	void restartedWorkerHasNoLimit() {
 		GatewayFixture f = new GatewayFixture().configured();
 		WorkerInfo w = f.addWorker("p1", "plain", WorkerStage.PLAIN);
 		f.call("safe");
@@ -227,7 +227,7 @@
 	// Guards against a decode worker in need that is asked for places, and so sent
 	// requests, beyond its limit.
 	@Test
-	void placesAreReservedWithinTheLimitOnly() {
+	void slotReservationsRespectTheLimit() {
 		GatewayFixture f = new GatewayFixture().configured();
 		f.addWorker("d1", "llm", WorkerStage.DECODE);
 		f.callWithPrompt("once", 200);
@@ -244,7 +244,7 @@
 
 	// Guards against a limit that is used up by requests that were never sent.
 	@Test
-	void aRefusedPlaceLeavesTheLimitToTheNext() {
+	void refusedReservationDoesNotConsumeTheLimit() {
 		GatewayFixture f = new GatewayFixture().configured();
 		f.addWorker("d1", "llm", WorkerStage.DECODE);
 		f.callWithPrompt("once", 200);
@@ -258,7 +258,7 @@
 	}
 
 	@Test
-	void aPrefillWorkerInNeedIsPassedOver() {
+	void limitedPrefillWorkerIsSkipped() {
 		GatewayFixture f = new GatewayFixture().configured();
 		f.addWorker("d1", "llm", WorkerStage.DECODE);
 		f.addWorker("f1", "llm", WorkerStage.PREFILL);
@@ -276,7 +276,7 @@
 	// named,
 	// and to come back at once.
 	@Test
-	void whereNobodyNamesALimitNobodyIsRefusedForOne() {
+	void lateRequestWithoutLimitsIsRefusedAsWorkersFull() {
 		GatewayFixture f = new GatewayFixture().configured();
 		f.addWorker("d1", "llm", WorkerStage.DECODE);
 		PromptShape p = new PromptShape(3_000, 1_190, 400);
@@ -284,16 +284,16 @@
 			f.gateway.engineTimes("llm").streamed(12_000, p, 400);
 		}
 		Call c = f.call("once", 8_000, p);
-		Assertions.assertThat(c.caller().refusal.code()).isEqualTo(RefusalReason.WORKERS_FULL);
+		Assertions.assertThat(c.caller().refusal.reason()).isEqualTo(RefusalReason.WORKERS_FULL);
 	}
 
 	// Guards against connections beyond what a worker takes from all VMs together: it
 	// resets them, and whether their requests have run is not known.
 	@Test
-	void noWorkerGetsMoreConnectionsThanItTakesFromAllVms() {
+	void connectionsStayWithinTheWorkersLimit() {
 		GatewayFixture f = new GatewayFixture().configured().addPlainWorkers(1);
-		EntryVm me = new EntryVm("vms/1", "10.1.0.1:80", "r", "hall-a", 1, false);
-		f.gateway.entryVms().registerSelf(me);
+		EntryVm ownVm = new EntryVm("vms/1", "10.1.0.1:80", "r", "hall-a", 1, false);
+		f.gateway.entryVms().registerSelf(ownVm);
 		f.gateway.entryVms().register(new EntryVm("vms/2", "10.1.0.2:80", "r", "hall-b", 1, false));
 		Call last = null;
 		for (int i = 0; i < 60; i++) {
--- a/src/test/java/io/shallotspur/platform/AnswerDecoderTests.java
+++ b/src/test/java/io/shallotspur/platform/AnswerDecoderTests.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 import io.shallotspur.gateway.ResponseHead;
-import io.shallotspur.gateway.WorkerLimit;
+import io.shallotspur.gateway.WorkerRateLimit;
 
 /**
  * Tests of what the head of an answer tells of its worker.
@@ -26,14 +26,14 @@
 	@Test
 	void readsTheLimitThatAWorkerNames() {
 		Assertions.assertThat(head(200, signed().add("Server-Limit", "3.9")).workerStatus().limit())
-			.isEqualTo(new WorkerLimit(3.9));
+			.isEqualTo(new WorkerRateLimit(3.9));
 		Assertions.assertThat(head(500, signed().add("Server-Limit", "0")).workerStatus().limit())
-			.isEqualTo(new WorkerLimit(0));
+			.isEqualTo(new WorkerRateLimit(0));
 	}
 
 	@Test
 	void aSuccessWithoutALimitEndsIt() {
-		Assertions.assertThat(head(200, signed()).workerStatus().limit()).isEqualTo(WorkerLimit.NONE);
+		Assertions.assertThat(head(200, signed()).workerStatus().limit()).isEqualTo(WorkerRateLimit.UNLIMITED);
 	}
 
 	// A worker in need refuses, and fails, without all of its usual fields; taken for the
@@ -43,7 +43,7 @@
 		Assertions.assertThat(head(500, signed()).workerStatus().limit()).isNull();
 		HttpHeaders h = new DefaultHttpHeaders().add("X-Request-Id", "r1").add("X-Not-Executed", "1");
 		Assertions.assertThat(head(503, h).workerStatus().limit()).isNull();
-		Assertions.assertThat(head(503, h.add("Server-Limit", "2.5")).workerStatus().limit()).isEqualTo(new WorkerLimit(2.5));
+		Assertions.assertThat(head(503, h.add("Server-Limit", "2.5")).workerStatus().limit()).isEqualTo(new WorkerRateLimit(2.5));
 	}
 
 	// The answer of another worker at the address, or to an earlier request, would put a
--- a/src/test/java/io/shallotspur/registry/ConfigReaderTests.java
+++ b/src/test/java/io/shallotspur/registry/ConfigReaderTests.java
@@ -37,7 +37,7 @@
 	private final AtomicInteger told = new AtomicInteger();
 
 	private void ask() {
-		this.reader.ask(this.told::incrementAndGet);
+		this.reader.refresh(this.told::incrementAndGet);
 	}
 
 	private void answer(long version) {
@@ -54,7 +54,7 @@
 
 	@Test
 	void bringsTheNewestConfigurationIntoForceBeforeItTells() {
-		this.reader.ask(() -> Assertions.assertThat(this.gateway.routeTable().orElseThrow().version()).isEqualTo(4));
+		this.reader.refresh(() -> Assertions.assertThat(this.gateway.routeTable().orElseThrow().version()).isEqualTo(4));
 		ask();
 		answer(4);
 		Assertions.assertThat(this.told).hasValue(1);
