--- a/src/main/java/io/shallotspur/gateway/ConnectionShare.java
+++ b/src/main/java/io/shallotspur/gateway/ConnectionShare.java
@@ -1,25 +1,25 @@
 package io.shallotspur.gateway;
 
 /**
- * Decides how many connections this VM may have at one worker. Stateless.
+ * Computes how many connections this VM may have to one worker. Stateless.
  * <p>
- * Answers a worker that stands still while callers come: each VM sees only its own
- * connections, and the worker resets those beyond what it takes from all VMs together. A
- * request on a connection that is reset may have run, so its caller is told of an unknown
- * outcome and not that it may come back.
+ * If a worker stalls while requests arrive, connections accumulate. A VM sees only its
+ * own connections, and the worker resets those beyond its limit for all VMs together. A
+ * request on a connection that was reset may have run, so its caller is told that the
+ * outcome is unknown and not that it may retry.
  */
 final class ConnectionShare {
 
-	// The part for the VMs that callers are told to use. The rest is for callers who come
-	// to others, for a set that has just changed, and for calls that are no requests.
+	// The share of the serving VMs. The rest is for callers of standby VMs, for changes
+	// of the serving set, and for calls that carry no requests.
 	private static final double SERVING_SHARE = 0.75;
 
 	private ConnectionShare() {
 	}
 
 	/**
-	 * Returns this VM's part.
-	 * @param limit connections that a worker takes from all VMs together
+	 * Returns this VM's share.
+	 * @param limit connections that a worker accepts from all VMs together
 	 * @param vms the VMs
 	 * @param now the present time in milliseconds
 	 * @return the number of connections, at least 1
--- a/src/main/java/io/shallotspur/gateway/RateLimitEnforcer.java
+++ b/src/main/java/io/shallotspur/gateway/RateLimitEnforcer.java
@@ -1,8 +1,8 @@
 package io.shallotspur.gateway;
 
 /**
- * Holds this VM to the limits that workers name. Not thread-safe; the present time is an
- * argument.
+ * Applies the rate limits that workers report to the requests of this VM. Not
+ * thread-safe; the present time is an argument.
  */
 final class RateLimitEnforcer {
 
@@ -11,9 +11,9 @@
 	private final double phase;
 
 	/**
-	 * Creates limits.
-	 * @param vms the VMs, with which limits are shared
-	 * @param phase a random number from 0 to 1
+	 * Creates an enforcer.
+	 * @param vms the VMs that share the limits
+	 * @param phase a random number from 0 to 1, the phase of this VM's probe windows
 	 */
 	RateLimitEnforcer(EntryVmDirectory vms, double phase) {
 		this.vms = vms;
@@ -28,8 +28,8 @@
 	 * Returns how long the next request to a worker has to wait.
 	 * @param worker the worker
 	 * @param now the present time in milliseconds
-	 * @return milliseconds; 0 if it may be sent, {@link Long#MAX_VALUE} if that is not
-	 * known
+	 * @return milliseconds; 0 if it may be sent now, {@link Long#MAX_VALUE} if the wait
+	 * is not known
 	 */
 	long waitMs(WorkerState worker, long now) {
 		if (!worker.limit().limit().isLimited()) {
@@ -41,10 +41,10 @@
 	}
 
 	/**
-	 * Returns how long a request has to wait to which the worker's next one is promised.
+	 * Returns the remaining wait of the request that holds the worker's next reservation.
 	 * @param worker the worker
 	 * @param now the present time in milliseconds
-	 * @return as {@link #waitMs}
+	 * @return as for {@link #waitMs}
 	 */
 	long reservedWaitMs(WorkerState worker, long now) {
 		return worker.limit().limit().isLimited() ? worker.limit().reservedWaitMs(share(worker, now), now) : 0;
@@ -59,7 +59,7 @@
 		return window >= 0 && !worker.limit().hasProbedIn(window);
 	}
 
-	// A caller's request, or the prefill of its prompt, goes to a worker.
+	// Records that a caller's request, or the prefill of its prompt, is sent to a worker.
 	void recordSent(WorkerState worker, long now) {
 		boolean limited = worker.limit().limit().isLimited();
 		worker.limit().recordSent(limited ? RateLimitShare.probeWindow(this.vms, this.phase, now) : -1);
--- a/src/main/java/io/shallotspur/gateway/RateLimitShare.java
+++ b/src/main/java/io/shallotspur/gateway/RateLimitShare.java
@@ -1,30 +1,33 @@
 package io.shallotspur.gateway;
 
 /**
- * Decides which part of a worker's limit is this VM's. Stateless.
+ * Computes this VM's share of a worker's rate limit. Stateless.
  * <p>
- * Answers a worker in need that asks all VMs together for less. Each VM sees its own
- * requests only, and cannot ask the others with each of them. So the limit is shared out
- * among the VMs that callers are told to use, of which all know the same ones; for a
- * moment two sets may differ by a VM, which the workers' tolerance bears.
+ * An overloaded worker limits the rate of requests from all VMs together. A VM sees only
+ * its own requests and cannot ask the other VMs for each of them, so the limit is divided
+ * among the serving VMs, the set that callers are told to use and that all VMs compute
+ * alike. Two VMs may briefly disagree about that set by one member; the tolerance of the
+ * workers covers this.
  * <p>
- * A VM whose part were less than one request now and then would still save one up, and
- * many such VMs together could send all at once. So only so many VMs have a part as the
- * limit has requests a second, and a few more. The others leave the worker alone, but for
- * their turn: without it they would never hear that the limit has ended.
+ * A VM with a share below one request per second would still accumulate a token, and many
+ * such VMs could send at the same time. The number of VMs with a share is therefore
+ * bounded by the limit in requests per second plus {@link #EXTRA_SHARERS}. The other VMs
+ * send to the worker only in their probe windows; without these they would not learn that
+ * the limit has been lifted.
  */
 final class RateLimitShare {
 
-	// VMs with a part beyond the requests a second: a limit of less than two a second is
-	// shared by two VMs all the same, as one may be lost.
+	// VMs with a share beyond the limit in requests per second. A limit below two per
+	// second is still shared by at least two VMs, since one may fail.
 	private static final int EXTRA_SHARERS = 2;
 
-	// A worker that takes nothing at all is asked now and then whether it does again,
-	// requests a second of all VMs together.
+	// Lower bound of the total rate of all VMs at a worker, requests per second. A worker
+	// that accepts nothing still gets some, which shows when it accepts requests again.
 	private static final double MIN_PER_S = 0.25;
 
-	// How long a turn lasts, ms, and between two turns how many such times for each VM.
-	// Turns come at random between the VMs, so that many of them rarely fall together.
+	// Length of a probe window, ms. A cycle has WINDOWS_PER_VM windows for each known VM,
+	// and a VM probes in one window per cycle. The phase is random for each VM, so probes
+	// of many VMs rarely coincide.
 	private static final long PROBE_WINDOW_MS = 1_000;
 
 	private static final int WINDOWS_PER_VM = 8;
@@ -33,12 +36,13 @@
 	}
 
 	/**
-	 * Returns this VM's part.
+	 * Returns this VM's share of a limit.
 	 * @param limit the limit
 	 * @param workerId the worker's id
 	 * @param vms the VMs
 	 * @param now the present time in milliseconds
-	 * @return requests a second; 0 if the VM leaves the worker alone but for its turn
+	 * @return requests per second; 0 if the VM may send to the worker only in its probe
+	 * windows
 	 */
 	static double perSecond(WorkerRateLimit limit, String workerId, EntryVmDirectory vms, long now) {
 		int serving = vms.servingCountAllRegions(now);
@@ -51,11 +55,11 @@
 	}
 
 	/**
-	 * Returns in which turn of this VM the present time falls.
+	 * Returns the probe window of this VM that contains the present time.
 	 * @param vms the VMs
 	 * @param phase a number from 0 to 1 that differs from VM to VM
 	 * @param now the present time in milliseconds
-	 * @return the number of the turn, or -1 if it is none
+	 * @return the number of the window, or -1 outside of a probe window
 	 */
 	static long probeWindow(EntryVmDirectory vms, double phase, long now) {
 		long cycleWindows = (long) WINDOWS_PER_VM * Math.max(1, vms.count(now));
--- a/src/main/java/io/shallotspur/gateway/RateLimitWait.java
+++ b/src/main/java/io/shallotspur/gateway/RateLimitWait.java
@@ -1,12 +1,12 @@
 package io.shallotspur.gateway;
 
 /**
- * A request that waits until a worker with a limit may be sent another one. Not
+ * A request that waits until a rate-limited worker may be sent another one. Not
  * thread-safe; confined to the gateway's thread.
  * <p>
- * Invariants: the worker's next request is promised to this one while it waits, so those
- * who come later wait behind it, and each knows at once how long; one of the methods of
- * {@link Listener} that end the wait is called, once, unless it is cancelled.
+ * Invariants: the waiting request holds a reservation at the worker's rate limiter, so
+ * later arrivals queue behind it and the wait of each is known on arrival; exactly one of
+ * the {@code on} methods of {@link Listener} is called, unless the wait is cancelled.
  */
 final class RateLimitWait {
 
@@ -20,10 +20,10 @@
 	};
 
 	/**
-	 * Creates a wait that has not begun.
+	 * Creates a wait that has not started.
 	 * @param gateway the gateway
 	 * @param worker the worker
-	 * @param listener hears how it ends
+	 * @param listener receives the outcome
 	 */
 	RateLimitWait(Gateway gateway, WorkerState worker, Listener listener) {
 		this.gateway = gateway;
@@ -47,7 +47,7 @@
 			this.listener.onWorkerGone(now);
 			return;
 		}
-		// The limit may have fallen since.
+		// The limit may have been lowered since the wait was scheduled.
 		long remainingMs = this.gateway.workerLimits.reservedWaitMs(this.worker, now);
 		if (remainingMs == 0) {
 			this.listener.onReady(this.worker, now);
@@ -61,7 +61,7 @@
 	}
 
 	/**
-	 * Gives the promised request back.
+	 * Cancels the wait and releases its reservation.
 	 */
 	void cancel() {
 		this.cancelTimer.run();
@@ -69,20 +69,20 @@
 	}
 
 	/**
-	 * Hears how a wait ends.
+	 * Receives the outcome of a wait.
 	 */
 	interface Listener {
 
-		// Until when the request waits at all, ms.
+		// The time until which the request waits at most, ms.
 		long waitDeadline();
 
-		// It is this request's turn.
+		// The request may be sent now.
 		void onReady(WorkerState worker, long now);
 
-		// The worker has left or started again.
+		// The worker has left or restarted.
 		void onWorkerGone(long now);
 
-		// The limit has fallen, and the request's turn would come too late.
+		// The limit was lowered, and the request could not be sent before its deadline.
 		void onTooLate(long now);
 
 	}
--- a/src/main/java/io/shallotspur/gateway/WorkerRateLimit.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerRateLimit.java
@@ -1,18 +1,19 @@
 package io.shallotspur.gateway;
 
 /**
- * How many requests a worker takes from all VMs together, as it says itself. Immutable.
+ * The rate of requests that a worker accepts from all VMs together, as the worker reports
+ * it. Immutable.
  *
- * @param perSecond requests a second, 0 or more; infinite if it names no limit
+ * @param perSecond requests per second, 0 or more; infinite if the worker is not limited
  */
 public record WorkerRateLimit(double perSecond) {
 
-	/** The worker takes whatever comes. */
+	/** The worker reports no limit. */
 	public static final WorkerRateLimit UNLIMITED = new WorkerRateLimit(Double.POSITIVE_INFINITY);
 
 	/**
-	 * Tells whether the worker names a limit.
-	 * @return {@code false} if it takes whatever comes
+	 * Tells whether the worker reports a limit.
+	 * @return {@code false} if it accepts any rate
 	 */
 	public boolean isLimited() {
 		return this.perSecond < Double.POSITIVE_INFINITY;
--- a/src/main/java/io/shallotspur/gateway/WorkerRateLimiter.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerRateLimiter.java
@@ -1,18 +1,19 @@
 package io.shallotspur.gateway;
 
 /**
- * The limit that one worker names, and what this VM may still send there. Not
- * thread-safe; the present time is an argument.
+ * Enforces this VM's share of the rate limit that one worker reports. Not thread-safe;
+ * the present time is an argument.
  * <p>
- * Invariants: a limit ends only with an answer to a request that was sent after the limit
- * was last heard, since answers on different connections overtake each other; under a
- * limit, requests are sent at the rate of this VM's part, with no more saved up than
- * {@link #BURST_MS} bring, or one request; a limit that is new begins with nothing saved.
+ * Invariants: a limit is lifted only by the response to a request that was sent after the
+ * limit was last reported, since responses on different connections may arrive out of
+ * order; under a limit, requests are sent at the rate of this VM's share, with a burst of
+ * at most {@link #BURST_MS} of that rate or one request; a new limit starts with an empty
+ * bucket.
  */
 final class WorkerRateLimiter {
 
-	// Requests do not come at even distances. What is saved lets the next two or three
-	// go at once without passing the limit by more than a fraction, ms.
+	// Requests arrive unevenly. This burst lets two or three be sent at once
+	// without exceeding the limit by more than a fraction, ms.
 	private static final double BURST_MS = 250;
 
 	private static final double MS_PER_S = 1_000;
@@ -25,21 +26,21 @@
 
 	private long sentCount;
 
-	// Whether this VM's part has been known since the limit began.
+	// Whether this VM's share was determined since the limit began.
 	private boolean shareKnown;
 
 	private TokenBucket bucket = new TokenBucket(0, 0);
 
-	// Requests that may be sent though they have not been yet: they wait for their time,
-	// or for a place at the worker.
+	// Requests that were admitted but not sent yet: they wait for their send time or for
+	// a slot at the worker.
 	private int reserved;
 
-	// The last turn of this VM in which a request was sent; see LimitPart.
+	// The last probe window of this VM in which a request was sent; see RateLimitShare.
 	private long lastProbeWindow = -1;
 
 	/**
-	 * Takes what an answer shows of the limit.
-	 * @param newLimit the limit
+	 * Updates the limit from a response.
+	 * @param newLimit the limit that the response reports
 	 * @param requestSentAt when the request was sent, in milliseconds
 	 * @param now the present time in milliseconds
 	 * @return whether the limit has changed
@@ -73,21 +74,22 @@
 	}
 
 	/**
-	 * Returns how long a request that comes now has to wait.
-	 * @param perSecond this VM's part of the limit, in requests a second
+	 * Returns how long a request that arrives now has to wait.
+	 * @param perSecond this VM's share of the limit, in requests per second
 	 * @param now the present time in milliseconds
-	 * @return milliseconds; 0 if it may be sent, {@link Long#MAX_VALUE} if never
+	 * @return milliseconds; 0 if it may be sent now, {@link Long#MAX_VALUE} if
+	 * never
 	 */
 	long waitMs(double perSecond, long now) {
 		return waitMs(perSecond, 1 + this.reserved, now);
 	}
 
 	/**
-	 * Returns how long a request has to wait that has reserved the next one: longer than
-	 * it was told if the limit has fallen since.
-	 * @param perSecond this VM's part of the limit, in requests a second
+	 * Returns the remaining wait of the request that holds the next reservation. It
+	 * exceeds the original wait if the limit was lowered meanwhile.
+	 * @param perSecond this VM's share of the limit, in requests per second
 	 * @param now the present time in milliseconds
-	 * @return as {@link #waitMs(double, long)}
+	 * @return as for {@link #waitMs(double, long)}
 	 */
 	long reservedWaitMs(double perSecond, long now) {
 		return waitMs(perSecond, 1, now);
@@ -117,9 +119,10 @@
 	}
 
 	/**
-	 * Takes that a request is sent. One that was placed before the limit was heard leaves
-	 * a debt.
-	 * @param probeWindow the turn of this VM in which it is sent, or -1 if it has none
+	 * Records that a request is sent. A request that was assigned before the limit was
+	 * reported may leave a negative token balance.
+	 * @param probeWindow the probe window of this VM in which it is sent, or -1 outside
+	 * of one
 	 */
 	void recordSent(long probeWindow) {
 		this.sentCount++;
@@ -134,18 +137,18 @@
 	/**
 	 * Returns what this VM has sent since the limit changed.
 	 * @param now the present time in milliseconds
-	 * @return the limit, requests and time
+	 * @return the limit, the number of requests and the elapsed time
 	 */
 	SendCount sentSinceChange(long now) {
 		return new SendCount(this.limit, this.sentCount, now - this.changedAt);
 	}
 
 	/**
-	 * What a VM has sent under a limit. Immutable.
+	 * The number of requests that this VM has sent under a limit. Immutable.
 	 *
 	 * @param limit the limit
-	 * @param requests how many requests
-	 * @param elapsedMs in how many milliseconds
+	 * @param requests the number of requests
+	 * @param elapsedMs the time in which they were sent, in milliseconds
 	 */
 	record SendCount(WorkerRateLimit limit, long requests, long elapsedMs) {
 
--- a/src/test/java/io/shallotspur/gateway/RateLimitedFleet.java
+++ b/src/test/java/io/shallotspur/gateway/RateLimitedFleet.java
@@ -15,17 +15,17 @@
 import io.shallotspur.gateway.GatewayFixture.Call;
 
 /**
- * Several VMs in virtual time before plain workers that may name limits. Callers use the
- * VMs that {@link EntryVmDirectory} names, and now and then one that stands by.
+ * Several VMs in virtual time in front of plain workers that may report rate limits.
+ * Callers use the VMs that {@link EntryVmDirectory} selects, and sometimes a standby VM.
  */
 final class RateLimitedFleet {
 
 	private static final long WINDOW_MS = 4_000;
 
-	// From this long after a worker first named a limit the bound holds.
+	// The bound applies from this long after a worker first reported a limit.
 	private static final long SETTLING_MS = 3_000;
 
-	// What a VM was told this long ago binds it.
+	// A VM has to respect a limit that was reported to it this long ago.
 	private static final long PROPAGATION_MS = 500;
 
 	private static final double TOLERATED_FACTOR = 1.5;
@@ -44,7 +44,7 @@
 
 	private final List<EntryVm> entries = new ArrayList<>();
 
-	// What each worker has named, and since when.
+	// The limits that each worker has reported, by the time they were set.
 	private final Map<String, TreeMap<Long, WorkerRateLimit>> limitHistory = new HashMap<>();
 
 	private final Map<String, Long> firstReportedAt = new HashMap<>();
@@ -87,10 +87,10 @@
 	}
 
 	/**
-	 * Lets callers come.
-	 * @param ms for how long, in milliseconds
-	 * @param perSecond requests a second at all VMs together
-	 * @param strayShare the part that goes to any VM and not to one that serves
+	 * Simulates traffic.
+	 * @param ms its duration, in milliseconds
+	 * @param perSecond requests per second at all VMs together
+	 * @param strayShare the fraction that goes to any VM and not to a serving one
 	 */
 	void run(long ms, double perSecond, double strayShare) {
 		long end = this.now + ms;
@@ -122,30 +122,32 @@
 	}
 
 	/**
-	 * Has callers prefer the first VM that serves.
-	 * @param share the part that uses it in any case; the others use any
+	 * Makes callers prefer the first serving VM.
+	 * @param share the fraction that always uses it; the others use any
 	 */
 	void preferFirst(double share) {
 		this.firstVmShare = share;
 	}
 
 	/**
-	 * Has a VM taken out of the set that callers are told to use, or into it again.
+	 * Marks a VM as crowded, which changes the set that callers are told to use.
 	 * @param vm the VM
-	 * @param crowded whether it says that callers wait for it
-	 * @param receivers which VMs hear of it
+	 * @param crowded whether it reports that requests wait for it
+	 * @param receivers the VMs that receive the change
 	 */
 	void setCrowded(int vm, boolean crowded, IntPredicate receivers) {
 		EntryVm e = this.entries.get(vm).withOverloaded(crowded);
 		this.entries.set(vm, e);
-		IntStream.range(0, this.vms.size()).filter(receivers).forEach((i) -> this.vms.get(i).gateway.entryVms().register(e));
+		IntStream.range(0, this.vms.size())
+			.filter(receivers)
+			.forEach((i) -> this.vms.get(i).gateway.entryVms().register(e));
 	}
 
 	int size() {
 		return this.vms.size();
 	}
 
-	// Requests that have come to workers since the last look.
+	// Collects the requests that workers have received since the last call.
 	private void collectRequests() {
 		for (int i = 0; i < this.vms.size(); i++) {
 			GatewayFixture f = this.vms.get(i);
@@ -177,10 +179,11 @@
 	}
 
 	/**
-	 * Returns the windows in which a worker got more from the VMs that it had told than
-	 * the platform tolerates: one and a half times the limit and five requests. Where the
-	 * limit changes, the highest one counts of which VMs can have heard in the window.
-	 * @return a line for each
+	 * Returns the windows in which a worker received more, from the VMs that it had
+	 * informed, than the platform tolerates: one and a half times the limit and five
+	 * requests. Where the limit changes, the highest one counts that VMs can have known
+	 * in the window.
+	 * @return one line per window
 	 */
 	List<String> violations() {
 		List<String> lines = new ArrayList<>();
@@ -211,27 +214,29 @@
 	}
 
 	/**
-	 * Returns how many requests a worker has got.
+	 * Returns how many requests a worker has received.
 	 * @param worker the worker
-	 * @param from since when, in milliseconds
-	 * @return the number of requests, of all VMs
+	 * @param from the start of the period, in milliseconds
+	 * @return the number of requests from all VMs
 	 */
 	long receivedSince(String worker, long from) {
 		return this.received.stream().filter((a) -> a.worker().equals(worker) && a.at() >= from).count();
 	}
 
 	/**
-	 * Returns the part of the callers who were answered with success within a time.
-	 * @param from since when they came, in milliseconds
+	 * Returns the fraction of requests that were answered successfully in time.
+	 * @param from the earliest arrival of these requests, in milliseconds
 	 * @return from 0 to 1
 	 */
 	double servedShare(long from) {
-		List<CallerRequest> l = this.calls.stream().filter((c) -> c.at() >= from && c.at() < this.now - RESPONSE_DEADLINE_MS).toList();
+		List<CallerRequest> l = this.calls.stream()
+			.filter((c) -> c.at() >= from && c.at() < this.now - RESPONSE_DEADLINE_MS)
+			.toList();
 		return (double) l.stream().filter((c) -> c.call().caller().status == 200).count() / l.size();
 	}
 
 	/**
-	 * Returns the advice that refused callers got.
+	 * Returns the retry delays of refused requests.
 	 * @return milliseconds each
 	 */
 	List<Long> retryDelays() {
--- a/src/test/java/io/shallotspur/gateway/WorkerRateLimitModelTests.java
+++ b/src/test/java/io/shallotspur/gateway/WorkerRateLimitModelTests.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Goes through all orders of what can happen to a worker's limit, with two VMs that serve
- * and one that stands by.
+ * Tests all sequences of events that affect a worker's rate limit, with two serving VMs
+ * and one standby VM.
  */
 class WorkerRateLimitModelTests {
 
@@ -20,15 +20,15 @@
 	private static final double BURST_PER_S = 60;
 
 	private static final List<Step> STEPS = List.of(
-			new Step("names one a second", (f) -> f.setLimit("p1", new WorkerRateLimit(1))),
-			new Step("names four a second", (f) -> f.setLimit("p1", new WorkerRateLimit(4))),
-			new Step("takes nothing", (f) -> f.setLimit("p1", new WorkerRateLimit(0))),
-			new Step("names none", (f) -> f.setLimit("p1", WorkerRateLimit.UNLIMITED)),
-			new Step("nobody calls", (f) -> f.run(STEP_MS, 0, 0)),
-			new Step("callers come", (f) -> f.run(STEP_MS, BURST_PER_S, 0.3)),
-			new Step("callers use any VM", (f) -> f.run(STEP_MS, BURST_PER_S, 1)));
+			new Step("limit of one per second", (f) -> f.setLimit("p1", new WorkerRateLimit(1))),
+			new Step("limit of four per second", (f) -> f.setLimit("p1", new WorkerRateLimit(4))),
+			new Step("limit of zero", (f) -> f.setLimit("p1", new WorkerRateLimit(0))),
+			new Step("no limit", (f) -> f.setLimit("p1", WorkerRateLimit.UNLIMITED)),
+			new Step("no traffic", (f) -> f.run(STEP_MS, 0, 0)),
+			new Step("traffic at serving VMs mostly", (f) -> f.run(STEP_MS, BURST_PER_S, 0.3)),
+			new Step("traffic at any VM", (f) -> f.run(STEP_MS, BURST_PER_S, 1)));
 
-	// Guards against an order of events in which a worker is given more than it named.
+	// Guards against a sequence of events in which a worker receives more than its limit.
 	@Test
 	void noEventSequenceExceedsTheLimit() {
 		int sequences = 0;
@@ -44,7 +44,7 @@
 		Assertions.assertThat(sequences).isEqualTo(2_401);
 	}
 
-	// Guards against a limit that has ended and still keeps callers away.
+	// Guards against a limit that was lifted and still causes refusals.
 	@Test
 	void allRequestsAreServedAfterTheLimitIsLifted() {
 		for (double perSecond : new double[] { 0, 0.5, 3 }) {
--- a/src/test/java/io/shallotspur/gateway/WorkerRateLimitTests.java
+++ b/src/test/java/io/shallotspur/gateway/WorkerRateLimitTests.java
@@ -8,7 +8,7 @@
 import io.shallotspur.gateway.GatewayFixture.Call;
 
 /**
- * Tests of the limits that workers name: over several VMs, and at one.
+ * Tests of the rate limits that workers report: over several VMs, and at one VM.
  */
 class WorkerRateLimitTests {
 
@@ -18,7 +18,7 @@
 		return new WorkerRateLimit(perSecond);
 	}
 
-	// Guards against a worker in need that is given more than the limit that it named.
+	// Guards against VMs that together send an overloaded worker more than its limit.
 	@Test
 	void allVmsTogetherStayWithinAWorkersLimit() {
 		RateLimitedFleet f = new RateLimitedFleet(8, 3, 1);
@@ -28,8 +28,9 @@
 		Assertions.assertThat(f.violations()).isEmpty();
 	}
 
-	// Guards against VMs that keep to a limit each for itself, or save up and send
-	// together: fleets of any size, limits that change, VMs that differ on who serves.
+	// Guards against VMs that each apply the whole limit, or accumulate tokens and send
+	// at the same time: fleets of random size, changing limits, VMs that disagree about
+	// the serving set.
 	@Test
 	void randomFleetsStayWithinTheLimits() {
 		for (long seed = 0; seed < 60; seed++) {
@@ -51,9 +52,9 @@
 		}
 	}
 
-	// Guards against the request that each VM has saved up after a calm minute: with
-	// forty
-	// VMs that all serve, a worker that takes one a second would get forty at once.
+	// Guards against the token that each VM accumulates during an idle minute: with forty
+	// serving VMs, a worker with a limit of one request per second would receive forty at
+	// once.
 	@Test
 	void idleVmsDoNotSendAccumulatedTokensTogether() {
 		RateLimitedFleet f = new RateLimitedFleet(40, 1, 5);
@@ -67,8 +68,8 @@
 		Assertions.assertThat(f.violations()).isEmpty();
 	}
 
-	// Guards against a limit that is kept so far below that callers are refused whom the
-	// workers would have served.
+	// Guards against limits that are enforced so strictly that requests are refused which
+	// the workers would have accepted.
 	@Test
 	void limitedWorkersReceiveMostOfTheirLimit() {
 		RateLimitedFleet f = new RateLimitedFleet(8, 3, 2);
@@ -95,7 +96,7 @@
 		return f.receivedSince("p1", 4_000) / (60 * perSecond);
 	}
 
-	// Guards against parts that lie unused at VMs with few callers.
+	// Guards against shares that stay unused at VMs with few callers.
 	@Test
 	void saturatedLimitsAreMostlyUsed() {
 		Assertions.assertThat(utilization(2, 5, 0)).isGreaterThan(0.85);
@@ -105,8 +106,8 @@
 		Assertions.assertThat(utilization(8, 1, 0)).isGreaterThan(0.5);
 	}
 
-	// Guards against refusals while the limits of all workers together leave room: calls
-	// that come at uneven distances wait for a moment instead.
+	// Guards against refusals while the workers' limits have capacity left: requests that
+	// arrive unevenly wait briefly instead.
 	@Test
 	void requestsWaitBrieflyForALimitWithCapacity() {
 		RateLimitedFleet f = new RateLimitedFleet(8, 3, 3);
@@ -126,7 +127,7 @@
 		Assertions.assertThat(f.retryDelays()).isEmpty();
 	}
 
-	// Guards against callers who wait although the limit leaves none for them in time.
+	// Guards against requests that wait although the limit cannot admit them in time.
 	@Test
 	void requestThatCannotBeSentInTimeIsRefusedImmediately() {
 		GatewayFixture f = new GatewayFixture().configured().addPlainWorkers(1);
@@ -154,7 +155,7 @@
 		Assertions.assertThat(f.workers.runs).hasSize(2);
 	}
 
-	// Guards against a burst of those who wait when the limit falls meanwhile.
+	// Guards against a burst of waiting requests when the limit is lowered meanwhile.
 	@Test
 	void waitingRequestsRespectALoweredLimit() {
 		GatewayFixture f = new GatewayFixture().configured().addPlainWorkers(1);
@@ -170,8 +171,8 @@
 		Assertions.assertThat(waiting[2].caller().refusal).isNotNull();
 	}
 
-	// Guards against a limit that is lifted by an older answer, which overtakes on
-	// another connection; the worker would get a burst until its next answer.
+	// Guards against an older response that arrives later on another connection and lifts
+	// the limit; the worker would receive a burst until its next response.
 	@Test
 	void staleResponseDoesNotLiftALimit() {
 		WorkerRateLimiter limiter = new WorkerRateLimiter();
@@ -196,7 +197,7 @@
 		Assertions.assertThat(f.workers.runs).hasSize(22);
 	}
 
-	// Guards against a worker that is never used again since nobody asks it.
+	// Guards against a limited worker that is never used again because no VM sends to it.
 	@Test
 	void workerWithAZeroLimitIsProbed() {
 		GatewayFixture f = new GatewayFixture().configured().addPlainWorkers(3);
@@ -209,7 +210,8 @@
 			f.call("safe");
 			f.workers.lastRun().respondWithLimit(WorkerRateLimit.UNLIMITED);
 		}
-		Assertions.assertThat(f.workers.runs.stream().skip(runsBefore).filter((r) -> r.call.worker().id().equals(limited)))
+		Assertions
+			.assertThat(f.workers.runs.stream().skip(runsBefore).filter((r) -> r.call.worker().id().equals(limited)))
 			.isNotEmpty();
 	}
 
@@ -224,8 +226,8 @@
 		Assertions.assertThat(f.workers.runs).hasSize(2);
 	}
 
-	// Guards against a decode worker in need that is asked for places, and so sent
-	// requests, beyond its limit.
+	// Guards against reservations, and so requests, that exceed the limit of an
+	// overloaded decode worker.
 	@Test
 	void slotReservationsRespectTheLimit() {
 		GatewayFixture f = new GatewayFixture().configured();
@@ -272,9 +274,8 @@
 		Assertions.assertThat(f.workers.runs).hasSize(2);
 	}
 
-	// Guards against a caller who is late already and is told of limits that nobody
-	// named,
-	// and to come back at once.
+	// Guards against a late request that is refused for a rate limit, with an immediate
+	// retry, although no worker reports one.
 	@Test
 	void lateRequestWithoutLimitsIsRefusedAsWorkersFull() {
 		GatewayFixture f = new GatewayFixture().configured();
@@ -287,8 +288,8 @@
 		Assertions.assertThat(c.caller().refusal.reason()).isEqualTo(RefusalReason.WORKERS_FULL);
 	}
 
-	// Guards against connections beyond what a worker takes from all VMs together: it
-	// resets them, and whether their requests have run is not known.
+	// Guards against more connections than a worker accepts from all VMs together: it
+	// resets the excess ones, and whether their requests have run is not known.
 	@Test
 	void connectionsStayWithinTheWorkersLimit() {
 		GatewayFixture f = new GatewayFixture().configured().addPlainWorkers(1);
