--- a/src/main/java/io/shallotspur/gateway/QuotaLimiter.java
+++ b/src/main/java/io/shallotspur/gateway/QuotaLimiter.java
@@ -7,47 +7,48 @@
 import io.shallotspur.route.Quota;
 
 /**
- * What each customer may still ask for at this VM. Not thread-safe; the present time is
- * an argument.
+ * Enforces the quotas of customers at this VM. Not thread-safe; the present time is an
+ * argument.
  * <p>
- * Answers a customer that sends many times what it has paid for while the workers are
- * short: without a limit it would take the places of all others. The limit holds for all
- * VMs together, and a VM cannot ask the others with each request. So it spends its part
- * only: a token bucket with that part of the rate and of the burst.
+ * Without a limit, a customer that sends many times its quota during a shortage of
+ * workers would displace all other customers. A quota holds for all VMs together, and a
+ * VM cannot ask the others for each request. Each VM therefore has one token bucket per
+ * customer with its share of the rate and of the burst.
  * <p>
- * Callers do not spread evenly, and a customer far below its quota would be refused where
- * its callers happen to be. So the bucket is larger than the part of the burst: the
- * operator tolerates that a quota is passed by some of it, and half of that is shared out
- * among the VMs.
+ * Callers are not spread evenly, and a customer far below its quota would be refused at a
+ * VM that receives most of its callers. Each bucket is therefore larger than the VM's
+ * share of the burst: the operator tolerates that quotas are exceeded by some amount, and
+ * half of that tolerance is divided among the VMs.
  * <p>
- * Invariants: a request passes while something is left, and may leave a debt, so that a
- * part that is smaller than a request still lets every so many through; a VM that has
- * just started does not know what was spent before, and begins without the burst. So in
- * any window all VMs together let through no more than the rate, one burst, half of what
- * is tolerated, a request for each VM, and half a second's rate for each start.
+ * Invariants: a request is admitted while the bucket holds more than a small reserve, and
+ * may leave the balance negative, so that a share smaller than one request still admits
+ * requests periodically; a VM that has just started does not know what was spent before
+ * and starts without the burst. In any window all VMs together thus admit no more than
+ * the rate, one burst, half of the tolerance, one request per VM, and half a second's
+ * rate per start.
  */
 final class QuotaLimiter {
 
 	private static final double MS_PER_S = 1_000;
 
-	// The other half is for requests that leave a debt, for VMs that start anew, and for
-	// the seconds in which VMs differ on who serves.
+	// The other half covers requests that leave a negative balance, VMs that restart, and
+	// the seconds in which VMs disagree about the serving set.
 	private static final double TOLERANCE_SHARE = 0.5;
 
-	// What a VM that has just started may spend at once, in seconds of its part: about
+	// What a VM that has just started may spend at once, in seconds of its share: about
 	// what callers send while it starts.
 	private static final double INITIAL_S = 0.5;
 
-	// A request passes while this many times its cost is left. A customer that has used
-	// its quota up with long prompts would otherwise be refused its plain calls as well,
-	// which take a thirtieth.
+	// A request is admitted while the bucket holds more than this many times its cost.
+	// Otherwise a customer that has exhausted its quota with long prompts would also be
+	// refused its plain requests, which cost a thirtieth as much.
 	private static final double RESERVE_COSTS = 4;
 
-	// But no more than this part of the bucket has to be left.
+	// Upper bound of that reserve, as a share of the bucket's capacity.
 	private static final double MAX_RESERVE_SHARE = 0.1;
 
-	// Customers that are remembered. Beyond it those whose bucket is full are forgotten,
-	// as they would begin with a full one again.
+	// Customers whose buckets are kept. Beyond this number full buckets are removed, as a
+	// new bucket would start full again.
 	private static final int MAX_CUSTOMERS = 20_000;
 
 	private final QuotaTolerance tolerance;
@@ -57,9 +58,9 @@
 	private final Map<String, TokenBucket> byCustomer = new HashMap<>();
 
 	/**
-	 * Creates a book.
-	 * @param tolerance how exactly quotas have to be kept
-	 * @param startedAt since when this VM sees requests, in milliseconds
+	 * Creates a limiter.
+	 * @param tolerance by how much quotas may be exceeded
+	 * @param startedAt when this VM started to receive requests, in milliseconds
 	 */
 	QuotaLimiter(QuotaTolerance tolerance, long startedAt) {
 		this.tolerance = tolerance;
@@ -67,12 +68,13 @@
 	}
 
 	/**
-	 * Takes what a request costs.
+	 * Charges the cost of a request.
 	 * @param customer the customer
 	 * @param cost units
-	 * @param share the part of the quota that is this VM's, over 0 and at most 1
+	 * @param share this VM's share of the quota, over 0 and at most 1
 	 * @param now the present time in milliseconds
-	 * @return 0 if it was taken, else after how many milliseconds there will be room
+	 * @return 0 if the request is admitted and was charged, else the time in milliseconds
+	 * until enough quota is available
 	 */
 	long charge(Customer customer, double cost, double share, long now) {
 		if (!customer.quota().limited()) {
@@ -88,7 +90,7 @@
 	}
 
 	/**
-	 * Gives back what a request has taken that turned out not to run.
+	 * Refunds the cost of a request that did not run.
 	 * @param customer the customer
 	 * @param cost units
 	 */
@@ -102,8 +104,8 @@
 	private TokenBucket bucket(Customer customer, double share, long now) {
 		Quota quota = customer.quota();
 		double perMs = quota.perSecond() * share / MS_PER_S;
-		double toleratedUnits = this.tolerance.slack()
-				+ this.tolerance.overshoot() * (quota.perSecond() * this.tolerance.windowMs() / MS_PER_S + quota.burst());
+		double toleratedUnits = this.tolerance.slack() + this.tolerance.overshoot()
+				* (quota.perSecond() * this.tolerance.windowMs() / MS_PER_S + quota.burst());
 		double capacity = share * (quota.burst() + TOLERANCE_SHARE * toleratedUnits);
 		TokenBucket bucket = this.byCustomer.get(customer.name());
 		if (bucket == null) {
--- a/src/main/java/io/shallotspur/gateway/QuotaShare.java
+++ b/src/main/java/io/shallotspur/gateway/QuotaShare.java
@@ -1,12 +1,13 @@
 package io.shallotspur.gateway;
 
 /**
- * Which part of each customer's quota a VM may spend. Stateless.
+ * Computes the share of each customer's quota that this VM may spend. Stateless.
  * <p>
- * The VMs that callers are told to use have equal parts: callers choose among them at
- * random. One that stands by still meets callers who have an older answer, and others may
- * not know yet that it serves, or no longer does; it has as much as if it were one more.
- * That is more than the whole in all, for the seconds in which callers move.
+ * The serving VMs have equal shares, since callers choose among them at random. A standby
+ * VM still receives callers with an outdated list of VMs, and VMs may briefly disagree
+ * about which ones serve; it has the share that it would have as an additional serving
+ * VM. The shares thus add up to more than the whole quota for the seconds in which
+ * callers move.
  */
 final class QuotaShare {
 
--- a/src/main/java/io/shallotspur/gateway/TokenBucket.java
+++ b/src/main/java/io/shallotspur/gateway/TokenBucket.java
@@ -1,10 +1,10 @@
 package io.shallotspur.gateway;
 
 /**
- * What this VM may still spend of its part of a rate that holds for all VMs together. Not
+ * Token bucket for this VM's share of a rate that applies to all VMs together. Not
  * thread-safe; the present time is an argument.
  * <p>
- * Invariant: what is left may be a debt, and is never more than the bucket holds.
+ * Invariant: the level may be negative and never exceeds the capacity.
  */
 final class TokenBucket {
 
@@ -18,8 +18,8 @@
 
 	/**
 	 * Creates a bucket.
-	 * @param level what it holds
-	 * @param updatedAt since when, in milliseconds
+	 * @param level the initial level
+	 * @param updatedAt the time of that level, in milliseconds
 	 */
 	TokenBucket(double level, long updatedAt) {
 		this.level = level;
@@ -27,10 +27,11 @@
 	}
 
 	/**
-	 * Brings the bucket up to date. Another rate holds from now on; a smaller bucket
-	 * holds at once for what is left, too.
-	 * @param newPerMs what comes in a millisecond
-	 * @param newCapacity how much the bucket holds
+	 * Adds the tokens that have accrued since the last update and sets a new rate and
+	 * capacity. The new rate applies from now on; a lower capacity caps the current level
+	 * at once.
+	 * @param newPerMs tokens added per millisecond
+	 * @param newCapacity the capacity
 	 * @param now the present time in milliseconds
 	 */
 	void refill(double newPerMs, double newCapacity, long now) {
--- a/src/test/java/io/shallotspur/gateway/QuotaTests.java
+++ b/src/test/java/io/shallotspur/gateway/QuotaTests.java
@@ -13,7 +13,7 @@
 import io.shallotspur.route.QuotaUnit;
 
 /**
- * Tests of quotas: at one VM, and over several that spend their parts.
+ * Tests of quotas: at one VM, and over several VMs that spend their shares.
  */
 class QuotaTests {
 
@@ -61,8 +61,8 @@
 		Assertions.assertThat(f.callWithKey("safe", "key-1").caller().refusal).isNull();
 	}
 
-	// Workers are full and refuse. Were the request charged all the same, its caller, who
-	// is told to come back, would pay for each try.
+	// Guards against charging requests that full workers have refused: the caller, which
+	// is told to retry, would pay for every attempt.
 	@Test
 	void requestThatDidNotRunIsNotCharged() {
 		GatewayFixture f = gateway(ACME);
@@ -73,7 +73,7 @@
 		}
 	}
 
-	// One customer sends many times its usual. The others must not notice.
+	// Guards against one customer's excess traffic affecting other customers.
 	@Test
 	void quotasAreIndependentPerCustomer() {
 		GatewayFixture f = new GatewayFixture().addPlainWorkers(1);
@@ -86,8 +86,8 @@
 		Assertions.assertThat(f.callWithKey("safe", "key-2").caller().refusal).isNull();
 	}
 
-	// The part of a VM is smaller than one request. It must let one through now and then
-	// and not none.
+	// Guards against a VM whose share is smaller than one request and that never admits
+	// any.
 	@Test
 	void requestLargerThanTheBurstIsAdmittedPeriodically() {
 		GatewayFixture f = gateway(customer(1_000, 1_000));
@@ -96,8 +96,8 @@
 		Assertions.assertThat(f.callWithKeyAndPrompt("once", "key-1", 6_000).caller().status).isEqualTo(429);
 	}
 
-	// The operator lowers the quota far below what the customer sends. What is left of
-	// the former burst must not be spent under the new quota.
+	// Guards against spending the rest of a former burst after the operator has lowered
+	// the quota.
 	@Test
 	void loweredQuotaTakesEffectImmediately() {
 		GatewayFixture f = gateway(customer(100_000, 100_000));
@@ -109,8 +109,8 @@
 		Assertions.assertThat(served).isEqualTo(5);
 	}
 
-	// All VMs lose power. Each comes back without knowing what was spent a second before;
-	// with a full burst at each start a customer could spend it again and again.
+	// Guards against a full burst after each start: after a power failure no VM knows
+	// what was spent a second before, and a customer could spend the burst repeatedly.
 	@Test
 	void newlyStartedVmHasNoBurst() {
 		QuotaLimiter limiter = new QuotaLimiter(TOLERANCE, 1_000);
@@ -122,8 +122,8 @@
 		Assertions.assertThat(spent).isLessThanOrEqualTo(5_000);
 	}
 
-	// A customer's long prompts have used its quota up. Its plain calls take a thirtieth
-	// of one each, and would all be refused for the sake of one more.
+	// Guards against long prompts that exhaust a quota and block plain requests, each of
+	// which costs a thirtieth of one.
 	@Test
 	void plainRequestsPassWhileLongPromptsAreRefused() {
 		QuotaLimiter limiter = new QuotaLimiter(TOLERANCE, -100_000);
@@ -134,8 +134,8 @@
 		}
 	}
 
-	// Callers of a customer that asks for half of its quota all come to one of three VMs
-	// for a while. Its part alone would refuse a third of them.
+	// Guards against refusals when all callers of a customer at half of its quota use one
+	// of three VMs for a while. The VM's share alone would refuse a third of them.
 	@Test
 	void burstAtOneVmPassesWithinTheTolerance() {
 		QuotaLimiter limiter = new QuotaLimiter(new QuotaTolerance(WINDOW_MS, 0.1, 190_000), -100_000);
@@ -155,10 +155,11 @@
 		Assertions.assertThat(limiter.charge(c, 200, 1, 5_000 + wait)).isZero();
 	}
 
-	// Several VMs with equal parts, callers spread over them in any way, VMs that start
-	// anew and have forgotten what was spent. In no window may the customer get more than
-	// the operator tolerates, beside a request for each VM that the operator's slack is
-	// for, and for each start one more and what a VM may spend at first.
+	// Guards against several VMs with equal shares that together exceed the quota, with
+	// callers spread in any way and VMs that restart and forget what was spent. In no
+	// window may the customer get more than the operator tolerates, plus one request per
+	// VM, which the operator's slack covers, and per start one more request and the
+	// initial allowance of a VM.
 	@Test
 	void allVmsTogetherStayWithinTheQuotaInEachWindow() {
 		for (long seed = 0; seed < 40; seed++) {
