--- a/src/main/java/io/shallotspur/gateway/ConfigFreshness.java
+++ b/src/main/java/io/shallotspur/gateway/ConfigFreshness.java
@@ -1,21 +1,23 @@
 package io.shallotspur.gateway;
 
 /**
- * How long ago the configuration in force surely was the newest one. Not thread-safe;
- * confined to the gateway's thread.
+ * Tracks when the configuration in force was last confirmed to be the newest one. Not
+ * thread-safe; confined to the gateway's thread.
  * <p>
- * Invariants: the age is counted from when the question was sent whose answer showed the
- * configuration, since the operator may publish another one while the answer is on its
- * way; it never shrinks without a new answer.
+ * Invariants: the age counts from when the confirming request was sent to the store,
+ * since the operator may publish a newer configuration while the response is in transit;
+ * the age decreases only with a new response.
  */
 final class ConfigFreshness {
 
-	// The part of the bound after which the store is asked anew while callers come. A VM
-	// whose path to the store is lost right then can still serve for the rest of it, in
-	// which most cuts end or its callers have gone to other VMs.
+	// The fraction of the bound after which the configuration is refreshed while requests
+	// arrive. A VM that loses its connection to the store at that moment can still serve
+	// for the rest of the bound; most disconnections end within it, or the callers have
+	// moved to other VMs.
 	private static final double REFRESH_SHARE = 0.25;
 
-	// Longer ago than any bound, and far enough from the least number to be subtracted.
+	// Longer ago than any bound, and far enough from Long.MIN_VALUE to be subtracted
+	// without overflow.
 	private static final long NEVER = Long.MIN_VALUE / 2;
 
 	private final long revocationBoundMs;
--- a/src/main/java/io/shallotspur/gateway/KeyCheck.java
+++ b/src/main/java/io/shallotspur/gateway/KeyCheck.java
@@ -9,39 +9,41 @@
 import io.shallotspur.route.RouteTable;
 
 /**
- * Decides whose request it is and whether it may run. Stateless.
+ * Identifies the customer of a request by its API key and decides whether the request may
+ * run. Stateless.
  * <p>
- * A VM that is cut off from the store does not hear that a key was revoked. If it went on
- * by what it knows, a key that was stolen would open that VM for as long as the cut
- * lasts. So a key is good only while the configuration is proved to have been the newest
- * one within the operator's bound. The request is judged when it has arrived; how long it
- * then waits for a worker does not matter, as it was sent while the key was good.
+ * A VM that is disconnected from the store does not learn that a key was revoked, and
+ * would accept a stolen key for as long as the disconnection lasts. A key is therefore
+ * valid only while the configuration is confirmed to have been the newest one within the
+ * operator's bound. The check applies to the time of arrival; how long the request then
+ * waits for a worker does not matter, since it was sent while the key was valid.
  */
 final class KeyCheck {
 
-	// Kept from the operator's bound, ms: clocks of both kinds tick in milliseconds and
-	// are read some lines apart.
+	// Subtracted from the operator's bound, ms: the monotonic clock and the time of day
+	// have millisecond resolution and are read at slightly different moments.
 	private static final long CLOCK_MARGIN_MS = 250;
 
-	// A key that is not known is denied by a configuration that was the newest one so
-	// lately, ms. A customer's new key may have been published a moment ago.
+	// An unknown key is rejected only if the configuration was confirmed this recently,
+	// ms. A new key of a customer may have been published a moment ago.
 	private static final long MAX_AGE_FOR_DENIAL_MS = 1_000;
 
 	private KeyCheck() {
 	}
 
 	/**
-	 * Decides.
+	 * Evaluates the key of a request.
 	 * @param table the configuration in force
 	 * @param route the route of the request
 	 * @param keyHash the hash of the caller's key, or {@code null} if it sent none
-	 * @param configAgeMs how long ago the configuration surely was the newest one, in
-	 * milliseconds
-	 * @param revocationBoundMs how long a revoked key may still be used, in milliseconds; 0 for
-	 * no bound
-	 * @return what to do
+	 * @param configAgeMs how long ago the configuration was confirmed to be the newest
+	 * one, in milliseconds
+	 * @param revocationBoundMs how long a revoked key may still be accepted, in
+	 * milliseconds; 0 for no bound
+	 * @return the decision
 	 */
-	static Decision evaluate(RouteTable table, Route route, @Nullable String keyHash, long configAgeMs, long revocationBoundMs) {
+	static Decision evaluate(RouteTable table, Route route, @Nullable String keyHash, long configAgeMs,
+			long revocationBoundMs) {
 		if (!table.asksForKeys()) {
 			return Decision.admitted(null);
 		}
@@ -58,10 +60,10 @@
 	}
 
 	/**
-	 * What to do with a request. Immutable.
+	 * The decision on a request. Immutable.
 	 *
 	 * @param action what to do
-	 * @param customer whose request it is, if it is admitted and belongs to one
+	 * @param customer the customer, if the request is admitted and belongs to one
 	 */
 	record Decision(Action action, @Nullable Customer customer) {
 
@@ -80,13 +82,13 @@
 	 */
 	enum Action {
 
-		/** Let it run. */
+		/** Admit it. */
 		ADMIT,
 
-		/** Refuse it: no customer has the key. */
+		/** Reject it: no customer has the key. */
 		DENY,
 
-		/** Ask the store first whether a newer configuration says otherwise. */
+		/** Ask the store for a newer configuration, then evaluate again. */
 		REVALIDATE
 
 	}
--- a/src/main/java/io/shallotspur/gateway/SuspendAwareClock.java
+++ b/src/main/java/io/shallotspur/gateway/SuspendAwareClock.java
@@ -1,21 +1,22 @@
 package io.shallotspur.gateway;
 
 /**
- * A steady time that also counts what passes while the machine is suspended. Not
- * thread-safe; the readings of both clocks are arguments.
+ * A monotonic clock that includes the time for which the machine was suspended. Not
+ * thread-safe; the readings of both underlying clocks are arguments.
  * <p>
- * The steady clock stands still while the machine is suspended; the time of day goes on,
- * but may be set. What the time of day gains on the steady clock is taken for a
- * suspension. That it was set forward looks the same, and ages what is known for nothing;
- * that it was set back is left aside, and must not hide a suspension before or after it.
+ * The monotonic clock stops while the machine is suspended; the time of day continues,
+ * but may be set. Any gain of the time of day over the monotonic clock is treated as a
+ * suspension. A time of day that is set forward looks the same, and only makes cached
+ * data appear older than it is; one that is set back is ignored, and must not hide a
+ * suspension before or after it.
  * <p>
- * Invariant: the time never goes back, provided that the steady clock does not.
+ * Invariant: the time never decreases, provided that the monotonic clock does not.
  */
 final class SuspendAwareClock {
 
-	// The clocks of a running machine differ by less between two readings, ms: they are
-	// read one after the other, and the time of day is slewed a little. Small gains add
-	// up until they pass it.
+	// The clocks of a running machine diverge by less than this between two readings, ms:
+	// they are read one after the other, and the time of day is slewed slightly. Smaller
+	// gains add up until they exceed it.
 	private static final long SUSPENSION_THRESHOLD_MS = 100;
 
 	private boolean initialized;
@@ -25,10 +26,10 @@
 	private long suspendedMs;
 
 	/**
-	 * Returns the time.
-	 * @param monotonicMs the steady clock, in milliseconds
+	 * Returns the elapsed time, including suspensions.
+	 * @param monotonicMs the monotonic clock, in milliseconds
 	 * @param wallMs the time of day, in Unix milliseconds
-	 * @return milliseconds since some moment
+	 * @return milliseconds since an arbitrary origin
 	 */
 	long elapsedMs(long monotonicMs, long wallMs) {
 		long newOffsetMs = wallMs - monotonicMs;
--- a/src/test/java/io/shallotspur/gateway/CustomerKeyTests.java
+++ b/src/test/java/io/shallotspur/gateway/CustomerKeyTests.java
@@ -11,7 +11,7 @@
 import io.shallotspur.route.Quota;
 
 /**
- * Tests of whose a request is, and of keys that were revoked.
+ * Tests of API keys: which customer a request belongs to, and revoked keys.
  */
 class CustomerKeyTests {
 
@@ -23,7 +23,7 @@
 
 	private final GatewayFixture f = new GatewayFixture(REVOCATION_BOUND_MS).addPlainWorkers(2);
 
-	// Questions to the store that wait for an answer.
+	// Pending requests to the store.
 	private final List<Runnable> storeRequests = new ArrayList<>();
 
 	CustomerKeyTests() {
@@ -79,8 +79,8 @@
 		Assertions.assertThat(g.workers.lastRun().call.customer()).isNull();
 	}
 
-	// A customer gets a new key, and the first caller who uses it reaches a VM that has
-	// not heard of it. Denied, the caller takes its key for bad and gives up.
+	// A customer gets a new key, and the first request with it reaches a VM that has not
+	// received it. If rejected, the caller would consider its key invalid and give up.
 	@Test
 	void refreshesTheConfigurationBeforeRejectingAKey() {
 		this.f.timer.advance(2_000);
@@ -93,8 +93,8 @@
 		Assertions.assertThat(this.f.workers.lastRun().call.customer()).isEqualTo("bolt");
 	}
 
-	// The VM is cut off from the store, and meanwhile a stolen key is revoked. Its thief
-	// could use this VM for as long as the cut lasts.
+	// The VM is disconnected from the store while a stolen key is revoked. The key would
+	// stay usable at this VM for as long as the disconnection lasts.
 	@Test
 	void refusesAKeyWhenTheConfigurationIsTooOld() {
 		this.f.timer.advance(REVOCATION_BOUND_MS);
@@ -115,9 +115,9 @@
 		Assertions.assertThat(runCount()).isEqualTo(1);
 	}
 
-	// The store is slow, and a caller has waited for its permission. Counted from then
-	// on,
-	// its time would be longer than it waits, and its worker would go on for nobody.
+	// The store is slow, and a request has waited for its key check. If its time counted
+	// only from then on, its deadline would exceed the caller's, and the worker would
+	// continue for a caller that has left.
 	@Test
 	void revalidationTimeCountsAgainstTheDeadline() {
 		this.f.timer.advance(REVOCATION_BOUND_MS);
@@ -128,8 +128,8 @@
 		Assertions.assertThat(this.f.workers.lastRun().call.timeoutMs()).isEqualTo(500);
 	}
 
-	// A caller waits for its permission at a store that is silent. Its own time passes,
-	// and it could have been served by another VM.
+	// A request waits for its key check while the store does not respond. Its time
+	// passes, although another VM could have served it.
 	@Test
 	void refusesInTimeWhenTheStoreDoesNotRespond() {
 		this.f.timer.advance(REVOCATION_BOUND_MS);
@@ -153,8 +153,8 @@
 		Assertions.assertThat(this.f.gateway.inProgress()).isZero();
 	}
 
-	// The machine is suspended for six seconds. Its steady clock does not count them, and
-	// by that clock the configuration was proved a moment ago.
+	// The machine is suspended for six seconds. Its monotonic clock does not count them,
+	// and by that clock the configuration was confirmed a moment ago.
 	@Test
 	void suspensionAgesTheConfiguration() {
 		this.f.wallClockOffsetMs += 6_000;
@@ -163,7 +163,8 @@
 		Assertions.assertThat(this.storeRequests).hasSize(1);
 	}
 
-	// Someone sets the clock back. A proof whose age were counted by it would never end.
+	// The time of day is set back. If the configuration's age were measured by it, the
+	// confirmation would not expire.
 	@Test
 	void clockSetBackDoesNotReduceTheConfigurationAge() {
 		this.f.wallClockOffsetMs -= 60_000;
@@ -172,9 +173,8 @@
 		Assertions.assertThat(runCount()).isZero();
 	}
 
-	// The clock is set back by a minute, and then the machine is suspended. By the time
-	// of
-	// day the proof is younger than it was.
+	// The time of day is set back by a minute, and then the machine is suspended. By the
+	// time of day the confirmation is more recent than it was.
 	@Test
 	void clockSetBackDoesNotHideASuspension() {
 		this.f.wallClockOffsetMs -= 60_000;
@@ -185,8 +185,9 @@
 		Assertions.assertThat(this.storeRequests).hasSize(1);
 	}
 
-	// The store answers slowly: the operator revokes a key just after it has read it for
-	// this VM. Counted from the answer, the key would be good for longer than it may.
+	// The store responds slowly: the operator revokes a key just after the store has read
+	// it for this VM. Counted from the response, the key would be accepted for longer
+	// than the bound.
 	@Test
 	void configurationAgeCountsFromTheRequest() {
 		this.f.timer.advance(1_000);
@@ -198,8 +199,8 @@
 		Assertions.assertThat(runCount()).isZero();
 	}
 
-	// A proof that is renewed only when it has ended would leave no time to serve in
-	// when the store is lost right then.
+	// A configuration that is refreshed only after its confirmation has expired would
+	// leave no time to serve in if the store is lost at that moment.
 	@Test
 	void refreshesTheConfigurationEarlyUnderTraffic() {
 		this.f.timer.advance(1_000);
