--- a/src/main/java/io/shallotspur/gateway/AttemptHistory.java
+++ b/src/main/java/io/shallotspur/gateway/AttemptHistory.java
@@ -1,22 +1,22 @@
 package io.shallotspur.gateway;
 
 /**
- * What is known of all attempts of one request so far. Immutable.
+ * The accumulated outcome of all attempts of one request. Immutable.
  * <p>
  * Invariant: {@code mayHaveRun} never becomes {@code false} again, so that no later
- * attempt can turn an unknown outcome into a promise that nothing ran.
+ * attempt can turn an unknown outcome into the statement that the request has not run.
  *
  * @param sentCount attempts that left this VM
  * @param mayHaveRun whether any of them may have run
  */
 public record AttemptHistory(int sentCount, boolean mayHaveRun) {
 
-	/** Before the first attempt. */
+	/** The history before the first attempt. */
 	public static final AttemptHistory NONE = new AttemptHistory(0, false);
 
 	/**
 	 * Adds an attempt that has ended.
-	 * @param outcome how it ended
+	 * @param outcome its outcome
 	 * @return the history with it
 	 */
 	public AttemptHistory with(AttemptOutcome outcome) {
@@ -25,21 +25,23 @@
 	}
 
 	/**
-	 * Tells whether the terms of the route allow another attempt.
-	 * @param maxAttempts the most workers a request may be sent to
-	 * @param repeatable whether a second run does no harm
-	 * @return {@code true} if the request may be sent once more
+	 * Tells whether the route allows another attempt.
+	 * @param maxAttempts the maximum number of workers that a request may be sent to
+	 * @param repeatable whether the request is safe to run twice
+	 * @return {@code true} if the request may be sent again
 	 */
 	public boolean allowsAnotherAttempt(int maxAttempts, boolean repeatable) {
 		return this.sentCount < maxAttempts && (repeatable || !this.mayHaveRun);
 	}
 
 	/**
-	 * Decides what follows. A total function: each history and end has exactly one next
-	 * step, and {@link NextStep#REFUSE_NOT_RUN} is never one after an attempt that may
-	 * have run. Were it, a caller who trusts the promise would send a renewal twice.
-	 * @param outcome how the newest attempt, already part of this history, ended
-	 * @param mayRetry whether terms, budget, time and workers allow another attempt
+	 * Decides what to do after an attempt. The function is total: each history and
+	 * outcome has exactly one next step. {@link NextStep#REFUSE_NOT_RUN} never follows an
+	 * attempt that may have run; otherwise a caller that relies on it would repeat a
+	 * renewal that was already executed.
+	 * @param outcome the outcome of the latest attempt, which this history already
+	 * includes
+	 * @param mayRetry whether route, retry budget, time and workers allow another attempt
 	 * @return the next step
 	 */
 	public NextStep nextStep(AttemptOutcome outcome, boolean mayRetry) {
--- a/src/main/java/io/shallotspur/gateway/AttemptOutcome.java
+++ b/src/main/java/io/shallotspur/gateway/AttemptOutcome.java
@@ -1,28 +1,27 @@
 package io.shallotspur.gateway;
 
 /**
- * What is known when one attempt at a worker has ended without success.
+ * The outcome of an attempt at a worker that did not succeed.
  */
 public enum AttemptOutcome {
 
 	/**
-	 * Nothing left this VM: the connection could not be made.
+	 * The request did not leave this VM: no connection could be established.
 	 */
 	NOT_SENT(false),
 
 	/**
-	 * The worker said that it has not run the request and never will.
+	 * The worker stated that it has not run the request and will not run it.
 	 */
 	NOT_RUN(false),
 
 	/**
-	 * The worker ran the request and answered with a failure of its own.
+	 * The worker ran the request and returned an error of its own.
 	 */
 	FAILED(true),
 
 	/**
-	 * The request left this VM and no whole answer came back, or one that cannot be
-	 * trusted.
+	 * The request left this VM, and no complete or trustworthy response was received.
 	 */
 	UNKNOWN(true);
 
@@ -33,8 +32,8 @@
 	}
 
 	/**
-	 * Tells whether the worker may have begun to work on the request.
-	 * @return {@code false} only if it surely has not
+	 * Tells whether the worker may have started to process the request.
+	 * @return {@code false} only if it certainly has not
 	 */
 	public boolean mayHaveRun() {
 		return this.mayHaveRun;
--- a/src/main/java/io/shallotspur/gateway/DecayedRatio.java
+++ b/src/main/java/io/shallotspur/gateway/DecayedRatio.java
@@ -1,8 +1,8 @@
 package io.shallotspur.gateway;
 
 /**
- * The ratio of two sums in which each observation counts less the more have followed it.
- * Not thread-safe.
+ * The ratio of two exponentially decayed sums: the weight of an observation decreases
+ * with each later one. Not thread-safe.
  */
 final class DecayedRatio {
 
@@ -13,9 +13,9 @@
 	private double denominatorSum;
 
 	/**
-	 * Creates a ratio of nothing.
-	 * @param decay by what the weight of all observations is multiplied with each new
-	 * one, from 0 to 1
+	 * Creates a ratio without observations.
+	 * @param decay the factor by which each new observation reduces the weight of all
+	 * earlier ones, from 0 to 1
 	 */
 	DecayedRatio(double decay) {
 		this.decay = decay;
@@ -32,7 +32,7 @@
 
 	/**
 	 * Returns the ratio.
-	 * @return the ratio; 0 if nothing was observed
+	 * @return the ratio; 0 without observations
 	 */
 	double value() {
 		return hasObservations() ? this.numeratorSum / this.denominatorSum : 0;
--- a/src/main/java/io/shallotspur/gateway/RecentRefusals.java
+++ b/src/main/java/io/shallotspur/gateway/RecentRefusals.java
@@ -4,41 +4,47 @@
 import java.util.Map;
 
 /**
- * Which workers have lately refused a place, and to requests of what size. Not
- * thread-safe; the present time is an argument.
+ * Tracks which workers have recently refused a reservation, and the request sizes they
+ * refused. Not thread-safe; the present time is an argument.
  * <p>
- * A worker that has refused is left alone for a while, so that many VMs do not spend
- * their time asking. It may still have memory for a request that needs clearly less: left
- * alone by all, it would stand half empty while callers wait.
+ * A worker that has refused is skipped temporarily, so that many VMs do not spend their
+ * time on unsuccessful attempts. It may still have memory for a clearly smaller request;
+ * if every request skipped it, its memory would be partly unused while requests wait.
+ * <p>
+ * A request is late if it can no longer meet its latency objective.
  */
 final class RecentRefusals {
 
-	// A worker that has refused a request may have memory for one that needs this part of
-	// it: requests differ by half of their mean, and each step of asking costs a call.
+	// A worker that has refused a request may have memory for one that needs at most this
+	// fraction of it: request sizes vary by half of their mean, and each further attempt
+	// costs a call.
 	private static final double SMALLER_REQUEST_RATIO = 0.75;
 
 	private final Map<String, Refusal> byWorker = new HashMap<>();
 
 	/**
-	 * Takes a refusal.
+	 * Records a refusal.
 	 * @param workerId the worker
-	 * @param tokens the memory that was asked for, in tokens
-	 * @param blockedUntil until when the worker is left alone by requests of that size
-	 * @param lateBlockedUntil until when it is left alone by those who are late
+	 * @param tokens the memory that was requested, in tokens
+	 * @param blockedUntil until when all but clearly smaller requests skip the
+	 * worker, in milliseconds
+	 * @param lateBlockedUntil until when late requests skip it, in milliseconds
 	 * @param now the present time in milliseconds
 	 */
 	void recordRefusal(String workerId, int tokens, long blockedUntil, long lateBlockedUntil, long now) {
-		// Workers that are gone refuse no more, and start again under other names.
+		// Workers that have left refuse no more, and restart under new ids.
 		this.byWorker.values().removeIf((r) -> now >= r.lateBlockedUntil());
 		Refusal previous = this.byWorker.get(workerId);
-		int minTokens = (previous != null && now < previous.blockedUntil()) ? Math.min(tokens, previous.tokens()) : tokens;
+		int minTokens = (previous != null && now < previous.blockedUntil()) ? Math.min(tokens, previous.tokens())
+				: tokens;
 		this.byWorker.put(workerId, new Refusal(minTokens, blockedUntil, lateBlockedUntil));
 	}
 
 	/**
-	 * Takes that a place has become free at a worker.
+	 * Records that a slot has become free at a worker.
 	 * @param workerId the worker
-	 * @param lateBlockedUntil until when the place is left to those in time
+	 * @param lateBlockedUntil until when the slot is kept for requests that are not late,
+	 * in milliseconds
 	 * @param now the present time in milliseconds
 	 */
 	void recordFreedSlot(String workerId, long lateBlockedUntil, long now) {
@@ -46,25 +52,27 @@
 	}
 
 	/**
-	 * Tells whether a worker may have a place.
+	 * Tells whether a worker may have a free slot for a request.
 	 * @param workerId the worker
 	 * @param tokens the memory that is needed, in tokens
-	 * @param late whether the caller is late in any case
+	 * @param late whether the request is late
 	 * @param now the present time in milliseconds
-	 * @return {@code false} if it is to be left alone
+	 * @return {@code false} if the worker is to be skipped
 	 */
 	boolean mayFit(String workerId, int tokens, boolean late, long now) {
 		Refusal refusal = this.byWorker.get(workerId);
 		if (refusal == null) {
 			return true;
 		}
-		return late ? now >= refusal.lateBlockedUntil() : now >= refusal.blockedUntil() || tokens < SMALLER_REQUEST_RATIO * refusal.tokens();
+		return late ? now >= refusal.lateBlockedUntil()
+				: now >= refusal.blockedUntil() || tokens < SMALLER_REQUEST_RATIO * refusal.tokens();
 	}
 
 	/**
-	 * Returns when the next worker may be asked again.
+	 * Returns the next time at which a skipped worker may be asked again.
 	 * @param now the present time in milliseconds
-	 * @param latestAt the answer if none is left alone until then
+	 * @param latestAt the result if no worker becomes available before it, in
+	 * milliseconds
 	 * @return a time in milliseconds, after now
 	 */
 	long nextRetryAt(long now, long latestAt) {
@@ -76,11 +84,12 @@
 	}
 
 	/**
-	 * What a worker refused last. Immutable.
+	 * The last refusal of a worker. Immutable.
 	 *
-	 * @param tokens the least memory that it refused
-	 * @param blockedUntil until when it is left alone by requests of that size
-	 * @param lateBlockedUntil until when it is left alone by those who are late
+	 * @param tokens the smallest amount of memory that it refused, in tokens
+	 * @param blockedUntil until when all but clearly smaller requests skip it, in
+	 * milliseconds
+	 * @param lateBlockedUntil until when late requests skip it, in milliseconds
 	 */
 	private record Refusal(int tokens, long blockedUntil, long lateBlockedUntil) {
 
--- a/src/main/java/io/shallotspur/gateway/RefusalReason.java
+++ b/src/main/java/io/shallotspur/gateway/RefusalReason.java
@@ -3,14 +3,14 @@
 import java.util.Locale;
 
 /**
- * Why a request was not answered by a worker.
+ * The reason why a request was not answered by a worker.
  */
 public enum RefusalReason {
 
-	/** No configuration is known yet. */
+	/** No configuration was received yet. */
 	NO_CONFIGURATION,
 
-	/** This VM is about to end, and the answer would not be whole by then. */
+	/** This VM is shutting down, and the answer could not be completed in time. */
 	LEAVING,
 
 	/** No route matches host and path. */
@@ -19,32 +19,32 @@
 	/** No customer has the key that the caller sent, or it sent none. */
 	UNKNOWN_KEY,
 
-	/** Whether the key has been revoked cannot be found out at present. */
+	/** Whether the key has been revoked cannot be determined at present. */
 	KEY_UNPROVEN,
 
-	/** The customer has asked for more than its quota. */
+	/** The customer has exceeded its quota. */
 	OVER_QUOTA,
 
-	/** No worker of the upstream takes requests. */
+	/** No worker of the upstream is available. */
 	NO_WORKER,
 
-	/** Every worker that was asked turned the request away. */
+	/** Every worker that was tried refused the request. */
 	WORKERS_FULL,
 
-	/** All workers take fewer requests for a while, and those are used up. */
+	/** All workers have reduced their rate limits, and these are exhausted. */
 	WORKERS_LIMITED,
 
-	/** The connection to the worker broke while it may have been at work. */
+	/** The connection to the worker broke while the request may have been running. */
 	WORKER_LOST,
 
-	/** The time for an answer is up. */
+	/** The time for an answer has expired. */
 	TIMED_OUT,
 
-	/** The request breaks the protocol or a limit. */
+	/** The request violates the protocol or a limit. */
 	BAD_REQUEST;
 
 	/**
-	 * Returns the form used in answers and logs.
+	 * Returns the form used in responses and logs.
 	 * @return the name in kebab case
 	 */
 	public String code() {
--- a/src/main/java/io/shallotspur/gateway/RelayRefusal.java
+++ b/src/main/java/io/shallotspur/gateway/RelayRefusal.java
@@ -1,31 +1,35 @@
 package io.shallotspur.gateway;
 
 /**
- * What a caller is told when no worker's answer can be relayed. Immutable.
+ * The response to a caller when no worker's answer can be relayed. Immutable.
  *
- * @param status the HTTP status; 429 and 503 promise that the request has not run and
- * never will
- * @param reason why, for the caller's developers and the log
- * @param retryAfterMs when a new try is worthwhile, in milliseconds; 0 for no advice
+ * @param status the HTTP status; 429 and 503 guarantee that the request has not run and
+ * will not run
+ * @param reason the reason, for the caller's developers and the log
+ * @param retryAfterMs after how many milliseconds a retry is useful; 0 for no advice
  */
 public record RelayRefusal(int status, RefusalReason reason, long retryAfterMs) {
 
-	/** The request has not run and never will. */
+	/** The request has not run and will not run. */
 	public static final int NOT_RUN = 503;
 
-	/** The same, as the customer has asked for too much. */
+	/**
+	 * The request has not run and will not run, as the customer has exceeded its quota.
+	 */
 	public static final int TOO_MANY_REQUESTS = 429;
 
-	/** Nobody knows whether the request has run; no whole answer came. */
+	/** It is not known whether the request has run; no complete response was received. */
 	public static final int OUTCOME_UNKNOWN = 502;
 
-	/** As before, and the time for an answer is up. */
+	/**
+	 * It is not known whether the request has run; the time for an answer has expired.
+	 */
 	public static final int TIMED_OUT = 504;
 
 	/**
-	 * Creates a refusal that promises that the request has not run.
-	 * @param reason why
-	 * @param retryAfterMs when a new try is worthwhile, in milliseconds
+	 * Creates a refusal that guarantees that the request has not run.
+	 * @param reason the reason
+	 * @param retryAfterMs after how many milliseconds a retry is useful
 	 * @return the refusal
 	 */
 	public static RelayRefusal notRun(RefusalReason reason, long retryAfterMs) {
--- a/src/main/java/io/shallotspur/gateway/RetryAfter.java
+++ b/src/main/java/io/shallotspur/gateway/RetryAfter.java
@@ -4,35 +4,35 @@
 import io.shallotspur.route.RouteKind;
 
 /**
- * When a refused caller is told to come back. Stateless.
+ * Computes the retry delay that a refused caller is given. Stateless.
  * <p>
- * Callers that are refused together in a burst would return together and be refused
- * again; the advice is spread over a span as long as itself.
+ * Callers that are refused in the same burst would return at the same time and be refused
+ * again, so the delays are spread at random over a period as long as the shortest delay.
  */
 final class RetryAfter {
 
-	// A plain worker frees a slot every few ms; a queue of a worker's length is gone
-	// after this time, ms.
+	// A plain worker frees a slot every few ms; a queue as long as a worker's is
+	// processed within this time, ms.
 	private static final long PLAIN_DELAY_MS = 150;
 
-	// Model requests hold a slot for half a second to a second, ms.
+	// Model requests occupy a slot for half a second to a second, ms.
 	private static final long STREAM_DELAY_MS = 500;
 
-	// Callers heed advice up to a third of the time they have left.
+	// Callers follow a retry delay of up to a third of their remaining time.
 	private static final double MAX_HEEDED_SHARE = 1.0 / 3;
 
-	// The return of late callers is spread over this part of the longest advice.
+	// The retries of late callers are spread over this fraction of the longest delay.
 	private static final double LATE_JITTER = 0.4;
 
-	// Estimates of answers are right at the median only, and the caller may have to wait
-	// for a place.
+	// Estimated answer times are accurate only at the median, and the caller may have to
+	// wait for a slot.
 	static final double ANSWER_MARGIN = 1.5;
 
 	private RetryAfter() {
 	}
 
 	/**
-	 * Returns when a caller is to come back who can still be answered in time.
+	 * Returns the retry delay of a caller that can still be answered in time.
 	 * @param route its route
 	 * @param random a random number from 0 to 1
 	 * @return milliseconds
@@ -43,10 +43,10 @@
 	}
 
 	/**
-	 * Returns when a caller is to come back who is refused because a quota or a limit is
-	 * used up. All who are wait for the same refill, so they are spread over as long
-	 * again.
-	 * @param refillMs after how long there will be room, in milliseconds
+	 * Returns the retry delay of a caller that is refused because a quota or a rate limit
+	 * is exhausted. All such callers wait for the same refill, so their retries are
+	 * spread over a further period as long as the refill time.
+	 * @param refillMs the time until capacity is available, in milliseconds
 	 * @param remainingMs how long the caller will still wait, in milliseconds
 	 * @param random a random number from 0 to 1
 	 * @return milliseconds
@@ -56,12 +56,12 @@
 	}
 
 	/**
-	 * Returns when a caller is to come back whose answer will be late in any case. It
-	 * loses nothing by coming later, and by then the burst that kept it waiting is more
-	 * likely over; back at once, it would wait in vain a second time, and has no third.
-	 * It must not come so late that a long answer can no longer end in time.
+	 * Returns the retry delay of a caller whose answer will be late in any case. A longer
+	 * delay costs it nothing, and by then the burst that delayed it is more likely over;
+	 * an immediate retry would wait unsuccessfully a second time, and there is no third
+	 * attempt. The delay must leave enough time for a long answer.
 	 * @param remainingMs how long it will still wait, in milliseconds
-	 * @param answerMs how long its answer will likely take, in milliseconds
+	 * @param answerMs the estimated duration of its answer, in milliseconds
 	 * @param random a random number from 0 to 1
 	 * @return milliseconds
 	 */
--- a/src/main/java/io/shallotspur/gateway/UpstreamRetryBudget.java
+++ b/src/main/java/io/shallotspur/gateway/UpstreamRetryBudget.java
@@ -5,25 +5,25 @@
 import java.util.Map;
 
 /**
- * Bounds the retries that this VM sends to each upstream in a sliding window, so that all
- * VMs together keep the operator's bound. Not thread-safe.
+ * Bounds the retries of this VM to each upstream in a sliding window, so that all VMs
+ * together stay within the operator's retry budget. Not thread-safe.
  * <p>
- * When a worker fails, each VM retries what it had there, all at the same moment; without
- * a common bound the retries of many VMs drown the workers that are left. A VM cannot ask
- * the others at that moment, so each keeps to its part: the ratio of its own requests,
- * and a share of the slack. The share assumes a few VMs more than are known, since a VM
- * that has just joined is not known to all.
+ * When a worker fails, all VMs retry their requests to it at the same moment; without a
+ * common bound these retries overload the remaining workers. A VM cannot ask the others
+ * at that moment, so each one uses its own share: the ratio of its own requests, and a
+ * share of the slack. The share allows for one more VM than is known, since a VM that has
+ * just joined is not known to all.
  * <p>
  * Invariant: in any window at most {@code ratio * requests + slack share} retries.
  */
 final class UpstreamRetryBudget {
 
-	// VMs that may be serving though this VM has not heard of them yet.
+	// VMs that may be serving without being known to this VM yet.
 	private static final int UNKNOWN_VMS = 1;
 
-	// The part of the slack for the VMs that callers are told to use. The rest is for
-	// callers who still have an older answer, and for a set that has just changed: both
-	// the old and the new one may have used their part within a window.
+	// The share of the slack for the serving VMs. The rest is for callers with an
+	// outdated list of VMs, and for changes of the serving set: the old and the new set
+	// may both have used their share within one window.
 	private static final double SERVING_SHARE = 0.5;
 
 	private final GatewaySettings settings;
--- a/src/test/java/io/shallotspur/gateway/AttemptHistoryTests.java
+++ b/src/test/java/io/shallotspur/gateway/AttemptHistoryTests.java
@@ -23,9 +23,9 @@
 		Assertions.assertThat(h.nextStep(end, mayRetry)).isEqualTo(next);
 	}
 
-	// A first worker dies with the request, a second one refuses it. Whoever looks at
-	// the second alone tells the caller that nothing ran, and the caller sends a
-	// renewal again that the first worker has issued.
+	// A first worker fails while it runs the request, and a second one refuses it. If
+	// only the second counted, the caller would be told that nothing ran and would repeat
+	// a renewal that the first worker has issued.
 	@Property(tries = 10_000, seed = "1")
 	void neverReportsNotRunAfterAnAttemptThatMayHaveRun(@ForAll @Size(min = 1, max = 6) List<AttemptOutcome> ends) {
 		AttemptHistory h = AttemptHistory.NONE;
