--- a/src/main/java/io/shallotspur/gateway/RecentRefusals.java
+++ b/src/main/java/io/shallotspur/gateway/RecentRefusals.java
@@ -26,8 +26,8 @@
 	 * Records a refusal.
 	 * @param workerId the worker
 	 * @param tokens the memory that was requested, in tokens
-	 * @param blockedUntil until when all but clearly smaller requests skip the
-	 * worker, in milliseconds
+	 * @param blockedUntil until when all but clearly smaller requests skip the worker, in
+	 * milliseconds
 	 * @param lateBlockedUntil until when late requests skip it, in milliseconds
 	 * @param now the present time in milliseconds
 	 */
--- a/src/main/java/io/shallotspur/gateway/WorkerRateLimiter.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerRateLimiter.java
@@ -77,8 +77,7 @@
 	 * Returns how long a request that arrives now has to wait.
 	 * @param perSecond this VM's share of the limit, in requests per second
 	 * @param now the present time in milliseconds
-	 * @return milliseconds; 0 if it may be sent now, {@link Long#MAX_VALUE} if
-	 * never
+	 * @return milliseconds; 0 if it may be sent now, {@link Long#MAX_VALUE} if never
 	 */
 	long waitMs(double perSecond, long now) {
 		return waitMs(perSecond, 1 + this.reserved, now);
