--- a/src/main/java/io/shallotspur/gateway/Attempt.java
+++ b/src/main/java/io/shallotspur/gateway/Attempt.java
@@ -57,7 +57,7 @@
 	}
 
 	void send(WorkerPort port, WorkerCall call) {
-		this.worker.whenEnded(this.onWorkerRestart);
+		this.worker.addTerminationListener(this.onWorkerRestart);
 		Exchange e = port.run(call, this);
 		this.exchange = e;
 		if (this.done) {
@@ -172,7 +172,7 @@
 
 	private void finish() {
 		this.done = true;
-		this.worker.forget(this.onWorkerRestart);
+		this.worker.removeTerminationListener(this.onWorkerRestart);
 	}
 
 	private void fail(AttemptOutcome end, String reason) {
--- a/src/main/java/io/shallotspur/gateway/Candidates.java
+++ b/src/main/java/io/shallotspur/gateway/Candidates.java
@@ -11,7 +11,7 @@
  */
 final class Candidates {
 
-	private final Gateway g;
+	private final Gateway gateway;
 
 	private final String upstream;
 
@@ -19,12 +19,12 @@
 
 	/**
 	 * Creates candidates.
-	 * @param g the gateway
+	 * @param gateway the gateway
 	 * @param upstream the upstream
 	 * @param connectionLimit connections that one worker takes from all VMs together
 	 */
-	Candidates(Gateway g, String upstream, int connectionLimit) {
-		this.g = g;
+	Candidates(Gateway gateway, String upstream, int connectionLimit) {
+		this.gateway = gateway;
 		this.upstream = upstream;
 		this.connectionLimit = connectionLimit;
 	}
@@ -32,37 +32,37 @@
 	/**
 	 * Returns those that are there, whether or not what they take is used up.
 	 * @param stage what they have to do
-	 * @param tried workers that are left out
+	 * @param excluded workers that are left out
 	 * @param now the present time in milliseconds
 	 * @return the workers
 	 */
-	List<WorkerState> all(WorkerStage stage, Set<String> tried, long now) {
-		return this.g.roster.candidates(this.upstream, Set.of(stage), tried, now);
+	List<WorkerState> all(WorkerStage stage, Set<String> excluded, long now) {
+		return this.gateway.roster.candidates(this.upstream, Set.of(stage), excluded, now);
 	}
 
 	/**
 	 * Returns those that take another request of this VM now.
 	 * @param stage what they have to do
-	 * @param tried workers that are left out
+	 * @param excluded workers that are left out
 	 * @param now the present time in milliseconds
 	 * @return the workers
 	 */
-	List<WorkerState> admitting(WorkerStage stage, Set<String> tried, long now) {
-		int connections = ConnectionShare.of(this.connectionLimit, this.g.entryVms, now);
-		return all(stage, tried, now).stream()
-			.filter((w) -> w.running() < connections && this.g.workerLimits.admits(w, now))
+	List<WorkerState> available(WorkerStage stage, Set<String> excluded, long now) {
+		int maxConnections = ConnectionShare.of(this.connectionLimit, this.gateway.entryVms, now);
+		return all(stage, excluded, now).stream()
+			.filter((w) -> w.activeRequests() < maxConnections && this.gateway.workerLimits.admits(w, now))
 			.toList();
 	}
 
 	/**
 	 * Returns the one whose limit leaves room first.
 	 * @param stage what it has to do
-	 * @param tried workers that are left out
+	 * @param excluded workers that are left out
 	 * @param now the present time in milliseconds
 	 * @return the worker, or empty if there is none
 	 */
-	Optional<WorkerState> firstWithRoom(WorkerStage stage, Set<String> tried, long now) {
-		return all(stage, tried, now).stream().min(Comparator.comparingLong((w) -> this.g.workerLimits.waitMs(w, now)));
+	Optional<WorkerState> soonestAvailable(WorkerStage stage, Set<String> excluded, long now) {
+		return all(stage, excluded, now).stream().min(Comparator.comparingLong((w) -> this.gateway.workerLimits.waitMs(w, now)));
 	}
 
 }
--- a/src/main/java/io/shallotspur/gateway/Gateway.java
+++ b/src/main/java/io/shallotspur/gateway/Gateway.java
@@ -37,13 +37,13 @@
 	private Runnable cancelClockSampling = () -> {
 	};
 
-	final Placement.Random random;
+	final WorkerSelector.RandomSource random;
 
 	final DecisionLog log;
 
 	final RelayMetrics metrics;
 
-	final Roster roster = new Roster();
+	final WorkerDirectory roster = new WorkerDirectory();
 
 	final EntryVmDirectory entryVms = new EntryVmDirectory();
 
@@ -59,9 +59,9 @@
 
 	private ConfigSource configSource = Runnable::run;
 
-	private final Map<String, HoldQueue> reservationQueues = new HashMap<>();
+	private final Map<String, ReservationQueue> reservationQueues = new HashMap<>();
 
-	private final Map<String, EngineTimes> engineTimes = new HashMap<>();
+	private final Map<String, EngineTimeEstimator> engineTimes = new HashMap<>();
 
 	private @Nullable RouteTable routeTable;
 
@@ -119,7 +119,7 @@
 	 * Returns the workers.
 	 * @return the workers, to be kept up to date by whoever reads the registry
 	 */
-	public Roster roster() {
+	public WorkerDirectory roster() {
 		return this.roster;
 	}
 
@@ -136,8 +136,8 @@
 	 * @param upstream the upstream
 	 * @return the figures, kept up to date
 	 */
-	public EngineTimes engineTimes(String upstream) {
-		return this.engineTimes.computeIfAbsent(upstream, (u) -> new EngineTimes());
+	public EngineTimeEstimator engineTimes(String upstream) {
+		return this.engineTimes.computeIfAbsent(upstream, (u) -> new EngineTimeEstimator());
 	}
 
 	/**
@@ -158,9 +158,9 @@
 			return false;
 		}
 		long most = Math.min(r.callerTimeoutMs(), route.timeoutMs());
-		PromptShape p = r.prompt();
+		PromptInfo p = r.prompt();
 		if (p != null) {
-			long answer = engineTimes(route.chooseUpstream(0)).answerMs(p.likelyOutputTokens());
+			long answer = engineTimes(route.chooseUpstream(0)).generationMs(p.expectedOutputTokens());
 			most = Math.min(most, route.targetMs() + (long) (RetryAfter.ANSWER_MARGIN * answer));
 		}
 		return now + most > this.shutdownAt;
@@ -251,8 +251,8 @@
 		}
 	}
 
-	HoldQueue reservationQueue(String upstream) {
-		return this.reservationQueues.computeIfAbsent(upstream, (u) -> new HoldQueue(this, u));
+	ReservationQueue reservationQueue(String upstream) {
+		return this.reservationQueues.computeIfAbsent(upstream, (u) -> new ReservationQueue(this, u));
 	}
 
 	/**
@@ -261,10 +261,10 @@
 	 * @param news the news
 	 * @param sentAt when the request was sent whose answer says so, in milliseconds
 	 */
-	void updateWorkerStatus(WorkerState w, WorkerNews news, long sentAt) {
+	void updateWorkerStatus(WorkerState w, WorkerStatus news, long sentAt) {
 		long now = this.clock.getAsLong();
 		if (news.load() != null) {
-			w.reported(news.load(), now);
+			w.recordLoad(news.load(), now);
 		}
 		if (news.limit() == null) {
 			return;
@@ -286,9 +286,9 @@
 	}
 
 	void onCapacityFreed(String upstream, String worker) {
-		HoldQueue q = this.reservationQueues.get(upstream);
+		ReservationQueue q = this.reservationQueues.get(upstream);
 		if (q != null) {
-			q.freed(worker, this.clock.getAsLong());
+			q.capacityFreed(worker, this.clock.getAsLong());
 		}
 	}
 
--- a/src/main/java/io/shallotspur/gateway/LengthModel.java
+++ b/src/main/java/io/shallotspur/gateway/OutputLengthModel.java
@@ -9,14 +9,14 @@
  * where estimates are right, 0 where they say nothing
  * @param deviation the deviation of the logarithm of an answer from the line
  */
-public record LengthModel(double intercept, double slope, double deviation) {
+public record OutputLengthModel(double intercept, double slope, double deviation) {
 
 	// What is believed before any answer has ended: a longer estimate means an answer
 	// longer by as much, and answers are longer or shorter than estimated by a third.
-	private static final double BELIEVED_DEVIATION = 0.3;
+	private static final double PRIOR_DEVIATION = 0.3;
 
 	/** Each estimate stands for itself. */
-	public static final LengthModel BELIEVED = new LengthModel(0, 1, BELIEVED_DEVIATION);
+	public static final OutputLengthModel PRIOR = new OutputLengthModel(0, 1, PRIOR_DEVIATION);
 
 	/**
 	 * Estimates the length of an answer.
@@ -24,11 +24,11 @@
 	 * @param deviations by how many deviations it may be longer than the line says
 	 * @return tokens
 	 */
-	public double tokens(int expected, double deviations) {
-		return Math.exp(logTokens(Math.log(Math.max(1, expected))) + deviations * this.deviation);
+	public double estimateTokens(int expected, double deviations) {
+		return Math.exp(estimateLogTokens(Math.log(Math.max(1, expected))) + deviations * this.deviation);
 	}
 
-	double logTokens(double logExpected) {
+	double estimateLogTokens(double logExpected) {
 		return this.intercept + this.slope * logExpected;
 	}
 
@@ -38,11 +38,11 @@
 	 * @param other the other one
 	 * @return the weighted mean of both
 	 */
-	public LengthModel mean(double weight, LengthModel other) {
-		double w = weight;
-		double v = 1 - weight;
-		return new LengthModel(w * this.intercept + v * other.intercept, w * this.slope + v * other.slope,
-				w * this.deviation + v * other.deviation);
+	public OutputLengthModel weightedMean(double weight, OutputLengthModel other) {
+		double thisWeight = weight;
+		double otherWeight = 1 - weight;
+		return new OutputLengthModel(thisWeight * this.intercept + otherWeight * other.intercept, thisWeight * this.slope + otherWeight * other.slope,
+				thisWeight * this.deviation + otherWeight * other.deviation);
 	}
 
 }
--- a/src/main/java/io/shallotspur/gateway/PrefillListener.java
+++ b/src/main/java/io/shallotspur/gateway/PrefillListener.java
@@ -2,15 +2,15 @@
 
 /**
  * Hears what becomes of a prefill, on the gateway's thread. One of the methods other than
- * {@link #onNews} is called, once.
+ * {@link #onStatus} is called, once.
  */
 public interface PrefillListener {
 
 	/**
 	 * What the worker says of itself, before what follows.
-	 * @param news the news
+	 * @param status the news
 	 */
-	void onNews(WorkerNews news);
+	void onStatus(WorkerStatus status);
 
 	/**
 	 * The KV cache is there.
@@ -27,8 +27,8 @@
 	/**
 	 * The worker refused the prefill and has not done it.
 	 * @param reason what was seen
-	 * @param otherWorker whether another incarnation has the worker's address
+	 * @param instanceReplaced whether another incarnation has the worker's address
 	 */
-	void onRefused(String reason, boolean otherWorker);
+	void onRefused(String reason, boolean instanceReplaced);
 
 }
--- a/src/main/java/io/shallotspur/gateway/PrefillStep.java
+++ b/src/main/java/io/shallotspur/gateway/PrefillStep.java
@@ -12,15 +12,15 @@
  */
 final class PrefillStep implements PrefillListener {
 
-	private final Gateway g;
+	private final Gateway gateway;
 
 	private final WorkerState worker;
 
-	private final PromptShape prompt;
+	private final PromptInfo prompt;
 
-	private final Consumer<Result> then;
+	private final Consumer<Result> callback;
 
-	private final Runnable onWorkerEnd = () -> onFailure(new ExchangeFailure(true, "worker started again"));
+	private final Runnable workerTerminationListener = () -> onFailure(new ExchangeFailure(true, "worker started again"));
 
 	private @Nullable Exchange exchange;
 
@@ -29,34 +29,34 @@
 
 	private long startedAt;
 
-	private boolean over;
+	private boolean finished;
 
 	/**
 	 * Creates a step.
-	 * @param g the gateway
+	 * @param gateway the gateway
 	 * @param worker the prefill worker
 	 * @param prompt the prompt
-	 * @param then told of the result, once, unless the step is cancelled
+	 * @param callback told of the result, once, unless the step is cancelled
 	 */
-	PrefillStep(Gateway g, WorkerState worker, PromptShape prompt, Consumer<Result> then) {
-		this.g = g;
+	PrefillStep(Gateway gateway, WorkerState worker, PromptInfo prompt, Consumer<Result> callback) {
+		this.gateway = gateway;
 		this.worker = worker;
 		this.prompt = prompt;
-		this.then = then;
+		this.callback = callback;
 	}
 
-	void start(WorkerCall call, long limitMs) {
-		this.startedAt = this.g.clock.getAsLong();
-		this.worker.started();
-		this.g.recordSent(this.worker, this.startedAt);
-		this.worker.whenEnded(this.onWorkerEnd);
-		this.cancelTimer = this.g.timer.schedule(limitMs, () -> {
-			this.g.engineTimes(this.worker.info().upstream()).prefillTimedOut(limitMs);
+	void start(WorkerCall call, long timeoutMs) {
+		this.startedAt = this.gateway.clock.getAsLong();
+		this.worker.requestStarted();
+		this.gateway.recordSent(this.worker, this.startedAt);
+		this.worker.addTerminationListener(this.workerTerminationListener);
+		this.cancelTimer = this.gateway.timer.schedule(timeoutMs, () -> {
+			this.gateway.engineTimes(this.worker.info().upstream()).recordPrefillTimeout(timeoutMs);
 			onFailure(new ExchangeFailure(true, "no answer"));
 		});
-		Exchange e = this.g.workerPort.prefill(call, this);
+		Exchange e = this.gateway.workerPort.prefill(call, this);
 		this.exchange = e;
-		if (this.over) {
+		if (this.finished) {
 			e.cancel();
 		}
 	}
@@ -66,59 +66,59 @@
 	}
 
 	@Override
-	public void onNews(WorkerNews news) {
-		this.g.updateWorkerStatus(this.worker, news, this.startedAt);
+	public void onStatus(WorkerStatus status) {
+		this.gateway.updateWorkerStatus(this.worker, status, this.startedAt);
 	}
 
 	@Override
 	public void onReady(String handle) {
-		KvSource s = new KvSource(this.worker.info(), handle);
-		if (this.over) {
-			this.g.workerPort.releaseKvCache(s);
+		KvSource source = new KvSource(this.worker.info(), handle);
+		if (this.finished) {
+			this.gateway.workerPort.releaseKvCache(source);
 			return;
 		}
-		end();
-		this.g.engineTimes(this.worker.info().upstream()).prefilled(this.g.clock.getAsLong() - this.startedAt, this.prompt);
-		this.then.accept(new Result(s, null, false));
+		finish();
+		this.gateway.engineTimes(this.worker.info().upstream()).recordPrefill(this.gateway.clock.getAsLong() - this.startedAt, this.prompt);
+		this.callback.accept(new Result(source, null, false));
 	}
 
 	@Override
-	public void onRefused(String reason, boolean otherWorker) {
-		if (otherWorker) {
-			this.g.roster.replaced(this.worker.info().id(), WorkerStage.PREFILL, this.g.clock.getAsLong());
+	public void onRefused(String reason, boolean instanceReplaced) {
+		if (instanceReplaced) {
+			this.gateway.roster.instanceReplaced(this.worker.info().id(), WorkerStage.PREFILL, this.gateway.clock.getAsLong());
 		}
-		if (!this.over) {
-			end();
-			this.then.accept(new Result(null, reason, true));
+		if (!this.finished) {
+			finish();
+			this.callback.accept(new Result(null, reason, true));
 		}
 	}
 
 	@Override
-	public void onFailure(ExchangeFailure f) {
-		if (!this.over) {
+	public void onFailure(ExchangeFailure failure) {
+		if (!this.finished) {
 			cancel();
 			// An answer that does not come, or a connection that cannot be made: the next
 			// prompts are better off elsewhere for a while.
-			this.worker.unreachable(this.g.clock.getAsLong());
-			this.then.accept(new Result(null, f.reason(), false));
+			this.worker.markUnreachable(this.gateway.clock.getAsLong());
+			this.callback.accept(new Result(null, failure.reason(), false));
 		}
 	}
 
 	void cancel() {
-		if (this.over) {
+		if (this.finished) {
 			return;
 		}
-		end();
+		finish();
 		if (this.exchange != null) {
 			this.exchange.cancel();
 		}
 	}
 
-	private void end() {
-		this.over = true;
+	private void finish() {
+		this.finished = true;
 		this.cancelTimer.run();
-		this.worker.forget(this.onWorkerEnd);
-		this.worker.ended();
+		this.worker.removeTerminationListener(this.workerTerminationListener);
+		this.worker.requestEnded();
 	}
 
 	/**
--- a/src/main/java/io/shallotspur/gateway/PrefillTimes.java
+++ b/src/main/java/io/shallotspur/gateway/PrefillTimeEstimator.java
@@ -8,28 +8,28 @@
  * What the latest prefills took for prompts of different lengths. Not thread-safe;
  * confined to the gateway's thread.
  */
-final class PrefillTimes {
+final class PrefillTimeEstimator {
 
 	// Enough for a steady mean, few enough to follow a change of the traffic.
-	private static final int KEPT = 64;
+	private static final int WINDOW_SIZE = 64;
 
 	// The quarter of the prefills that waited least; their time is that of the work.
-	private static final double QUICK_SHARE = 0.25;
+	private static final double UNQUEUED_QUANTILE = 0.25;
 
 	// A slope through fewer prefills is that of their waits in the queue.
-	private static final int LEAST_FOR_SLOPE = 8;
+	private static final int MIN_SAMPLES_FOR_SLOPE = 8;
 
-	private final Deque<Prefill> latest = new ArrayDeque<>();
+	private final Deque<Sample> samples = new ArrayDeque<>();
 
 	void add(long ms, int tokens) {
-		this.latest.addLast(new Prefill(Math.max(1, ms), Math.max(1, tokens)));
-		if (this.latest.size() > KEPT) {
-			this.latest.removeFirst();
+		this.samples.addLast(new Sample(Math.max(1, ms), Math.max(1, tokens)));
+		if (this.samples.size() > WINDOW_SIZE) {
+			this.samples.removeFirst();
 		}
 	}
 
 	boolean isKnown() {
-		return !this.latest.isEmpty();
+		return !this.samples.isEmpty();
 	}
 
 	/**
@@ -39,17 +39,17 @@
 	 * @param tokens tokens of the prompt
 	 * @return milliseconds
 	 */
-	double ms(double tokens) {
-		double added = addedTokenMs();
-		if (added == 0) {
-			return tokens * quick(this.latest.stream().map((p) -> p.ms() / p.tokens()).sorted().toList());
+	double estimateMs(double tokens) {
+		double marginalMs = marginalTokenMs();
+		if (marginalMs == 0) {
+			return tokens * unqueuedQuantile(this.samples.stream().map((p) -> p.ms() / p.tokens()).sorted().toList());
 		}
-		double besides = quick(this.latest.stream().map((p) -> p.ms() - added * p.tokens()).sorted().toList());
-		return Math.max(1, besides + added * tokens);
+		double fixedMs = unqueuedQuantile(this.samples.stream().map((p) -> p.ms() - marginalMs * p.tokens()).sorted().toList());
+		return Math.max(1, fixedMs + marginalMs * tokens);
 	}
 
-	private static double quick(List<Double> sorted) {
-		return sorted.get((int) (sorted.size() * QUICK_SHARE));
+	private static double unqueuedQuantile(List<Double> sorted) {
+		return sorted.get((int) (sorted.size() * UNQUEUED_QUANTILE));
 	}
 
 	/**
@@ -57,13 +57,13 @@
 	 * between any two prefills, on which those that waited in a queue have little weight.
 	 * @return milliseconds; 0 if that is not known
 	 */
-	double addedTokenMs() {
-		if (this.latest.size() < LEAST_FOR_SLOPE) {
+	double marginalTokenMs() {
+		if (this.samples.size() < MIN_SAMPLES_FOR_SLOPE) {
 			return 0;
 		}
-		List<Prefill> l = List.copyOf(this.latest);
-		double[] slopes = l.stream()
-			.flatMapToDouble((a) -> l.stream()
+		List<Sample> snapshot = List.copyOf(this.samples);
+		double[] slopes = snapshot.stream()
+			.flatMapToDouble((a) -> snapshot.stream()
 				.filter((b) -> b.tokens() > a.tokens())
 				.mapToDouble((b) -> (b.ms() - a.ms()) / (b.tokens() - a.tokens())))
 			.sorted()
@@ -71,7 +71,7 @@
 		return (slopes.length > 0) ? Math.max(0, slopes[slopes.length / 2]) : 0;
 	}
 
-	private record Prefill(double ms, double tokens) {
+	private record Sample(double ms, double tokens) {
 
 	}
 
--- a/src/main/java/io/shallotspur/gateway/PromptShape.java
+++ b/src/main/java/io/shallotspur/gateway/PromptInfo.java
@@ -5,9 +5,9 @@
  *
  * @param promptTokens tokens of the prompt
  * @param maxOutputTokens most tokens of the answer
- * @param likelyOutputTokens the caller's estimate of the tokens of the answer; right at
+ * @param expectedOutputTokens the caller's estimate of the tokens of the answer; right at
  * the median and often far off
  */
-public record PromptShape(int promptTokens, int maxOutputTokens, int likelyOutputTokens) {
+public record PromptInfo(int promptTokens, int maxOutputTokens, int expectedOutputTokens) {
 
 }
--- a/src/main/java/io/shallotspur/gateway/RateLimitWait.java
+++ b/src/main/java/io/shallotspur/gateway/RateLimitWait.java
@@ -43,7 +43,7 @@
 	private void onTimer() {
 		this.worker.limit().releaseReservation();
 		long now = this.gateway.clock.getAsLong();
-		if (!this.worker.stays(now) || !this.gateway.roster.lives(this.worker.info())) {
+		if (!this.worker.isActive(now) || !this.gateway.roster.isCurrentInstance(this.worker.info())) {
 			this.listener.onWorkerGone(now);
 			return;
 		}
--- a/src/main/java/io/shallotspur/gateway/RelayRequest.java
+++ b/src/main/java/io/shallotspur/gateway/RelayRequest.java
@@ -21,7 +21,7 @@
  * none, or none that can be read
  */
 public record RelayRequest(String id, String method, String target, String host, List<HeaderField> headers, byte[] body,
-		long callerTimeoutMs, @Nullable PromptShape prompt, @Nullable String lastEventId, @Nullable String keyHash) {
+		long callerTimeoutMs, @Nullable PromptInfo prompt, @Nullable String lastEventId, @Nullable String keyHash) {
 
 	/**
 	 * Creates a request; the list is copied.
--- a/src/main/java/io/shallotspur/gateway/RelayTask.java
+++ b/src/main/java/io/shallotspur/gateway/RelayTask.java
@@ -14,7 +14,7 @@
  * Invariants: the caller is answered once; a request that may have run is never answered
  * as not run, and is sent again only if a second run does no harm.
  */
-final class RelayTask implements Attempt.Listener, Placing.Sink {
+final class RelayTask implements Attempt.Listener, RequestPlacement.Callback {
 
 	// The worker stops by itself at the end of its time; its own answer is worth waiting
 	// for a little, ms. Answers cross a hall in a few ms.
@@ -40,7 +40,7 @@
 
 	private final long deadline;
 
-	private final Placing placing;
+	private final RequestPlacement placing;
 
 	private final ResponseProgress progress;
 
@@ -70,7 +70,7 @@
 		this.upstream = this.route.chooseUpstream(g.random.next());
 		UpstreamSpec spec = admitted.routeTable().upstream(this.upstream).orElse(null);
 		this.progress = new ResponseProgress((spec != null) ? spec.engine() : null, this.request.lastEventId());
-		this.placing = new Placing(g, admitted, this.upstream, spec, this, arrivedAt, this.deadline);
+		this.placing = new RequestPlacement(g, admitted, this.upstream, spec, this, arrivedAt, this.deadline);
 	}
 
 	void start(long now) {
@@ -79,49 +79,49 @@
 		long slack = Math.min(WORKER_TIMEOUT_SLACK_MS, callerLeft);
 		this.cancelDeadline = this.gateway.timer.schedule(this.deadline + slack - now, this::onDeadline);
 		if (this.request.prompt() != null) {
-			this.gateway.engineTimes(this.upstream).asked(this.request.prompt());
+			this.gateway.engineTimes(this.upstream).recordRequest(this.request.prompt());
 		}
 		this.placing.start(now);
 	}
 
 	@Override
-	public void ready(WorkerState w, WorkerCall call, long now) {
+	public void onReady(WorkerState w, WorkerCall call, long now) {
 		this.attemptStartedAt = now;
-		w.started();
+		w.requestStarted();
 		this.gateway.recordSent(w, now);
-		if (w.onGrace()) {
+		if (w.inGracePeriod()) {
 			this.gateway.metrics.sentToVanished();
-			note("sent to vanished worker=" + w.info().id(), now);
+			log("sent to vanished worker=" + w.info().id(), now);
 		}
-		this.gateway.roster.detector(this.upstream).started(w.info().id(), now);
+		this.gateway.roster.outlierDetector(this.upstream).started(w.info().id(), now);
 		Attempt a = new Attempt(this, w, this.route.kind() == RouteKind.STREAM, this.responseStarted);
 		this.attempt = a;
 		this.prefillsAtWorker = call.kvSource() == null && this.request.prompt() != null;
-		w.prefilling(this.prefillsAtWorker ? 1 : 0);
+		w.adjustActivePrefills(this.prefillsAtWorker ? 1 : 0);
 		a.send(this.gateway.workerPort, call.withLastEventId(this.progress.lastEventId()));
 	}
 
 	@Override
-	public void nowhere(RefusalReason reason, long now) {
+	public void onRefused(RefusalReason reason, long now) {
 		refuseOrAbort(reason, now);
 	}
 
 	@Override
-	public boolean mayGoOnAfterPrefill(long now) {
+	public boolean mayContinueAfterRefusedPrefill(long now) {
 		this.history = this.history.with(AttemptOutcome.NOT_RUN);
 		return mayRetry(AttemptOutcome.NOT_RUN, now);
 	}
 
 	@Override
-	public boolean mayPrefillAgain(long now) {
+	public boolean mayRetryPrefill(long now) {
 		AttemptHistory before = this.history;
-		boolean may = mayGoOnAfterPrefill(now);
+		boolean may = mayContinueAfterRefusedPrefill(now);
 		this.history = may ? this.history : before;
 		return may;
 	}
 
 	@Override
-	public int received() {
+	public int receivedTokens() {
 		return this.progress.receivedTokens();
 	}
 
@@ -131,7 +131,7 @@
 	}
 
 	@Override
-	public void note(String what, long now) {
+	public void log(String what, long now) {
 		log(now, what);
 	}
 
@@ -143,7 +143,7 @@
 		WorkerState w = this.attempt.worker();
 		this.gateway.updateWorkerStatus(w, head.workerStatus(), this.attemptStartedAt);
 		if (head.otherIncarnation()) {
-			this.gateway.roster.replaced(w.info().id(), this.placing.stage(), this.gateway.clock.getAsLong());
+			this.gateway.roster.instanceReplaced(w.info().id(), this.placing.stage(), this.gateway.clock.getAsLong());
 		}
 	}
 
@@ -167,7 +167,7 @@
 
 	private void prefillFinished() {
 		if (this.prefillsAtWorker && this.attempt != null) {
-			this.attempt.worker().prefilling(-1);
+			this.attempt.worker().adjustActivePrefills(-1);
 			this.prefillsAtWorker = false;
 		}
 	}
@@ -179,9 +179,9 @@
 		this.gateway.metrics.firstByte(this.route.name(), now - this.arrivedAt);
 		if (this.attempt != null) {
 			String id = this.attempt.worker().info().id();
-			this.gateway.engineTimes(this.upstream).firstByte(now - Math.max(this.arrivedAt, this.placing.heldAt()));
-			this.gateway.roster.detector(this.upstream).succeeded(id, now - this.attemptStartedAt, now);
-			this.attempt.worker().outcome(false);
+			this.gateway.engineTimes(this.upstream).recordTimeToFirstEvent(now - Math.max(this.arrivedAt, this.placing.reservedAt()));
+			this.gateway.roster.outlierDetector(this.upstream).succeeded(id, now - this.attemptStartedAt, now);
+			this.attempt.worker().recordOutcome(false);
 		}
 	}
 
@@ -192,9 +192,9 @@
 			firstByte();
 		}
 		this.gateway.metrics.answered(this.route.name(), this.admitted.customerName(), now - this.arrivedAt);
-		PromptShape p = this.request.prompt();
+		PromptInfo p = this.request.prompt();
 		if (inParts && p != null && this.request.lastEventId() == null) {
-			this.gateway.engineTimes(this.upstream).streamed(now - this.progress.firstByteAt(), p, received());
+			this.gateway.engineTimes(this.upstream).recordResponse(now - this.progress.firstByteAt(), p, receivedTokens());
 		}
 		log(now, "answered status=" + head.status() + timingFields());
 		endAttempt();
@@ -231,16 +231,16 @@
 			return;
 		}
 		WorkerState w = this.attempt.worker();
-		w.outcome(true);
+		w.recordOutcome(true);
 		if (end == AttemptOutcome.NOT_RUN) {
 			int slots = w.info().slots();
-			w.reported(new LoadReport(slots, slots, slots), now);
+			w.recordLoad(new LoadReport(slots, slots, slots), now);
 		}
 		else {
-			this.gateway.roster.detector(this.upstream).failed(w.info().id(), now);
+			this.gateway.roster.outlierDetector(this.upstream).failed(w.info().id(), now);
 		}
 		if (end == AttemptOutcome.NOT_SENT) {
-			w.unreachable(now);
+			w.markUnreachable(now);
 		}
 	}
 
@@ -251,7 +251,7 @@
 		if (this.responseStarted && !this.route.resumable()) {
 			return false;
 		}
-		if (this.deadline - now < MIN_ATTEMPT_MS || !this.placing.anyLeft(now)) {
+		if (this.deadline - now < MIN_ATTEMPT_MS || !this.placing.hasCandidates(now)) {
 			return false;
 		}
 		// What never left this VM has arrived nowhere, so it takes nothing of the budget.
@@ -268,8 +268,8 @@
 
 	// Where the time went, counted from the arrival, ms.
 	private String timingFields() {
-		long held = Math.max(this.arrivedAt, this.placing.heldAt());
-		return " tokens=" + this.placing.tokens() + " held-ms=" + (held - this.arrivedAt) + " sent-ms="
+		long held = Math.max(this.arrivedAt, this.placing.reservedAt());
+		return " tokens=" + this.placing.requiredTokens() + " held-ms=" + (held - this.arrivedAt) + " sent-ms="
 				+ (this.attemptStartedAt - this.arrivedAt) + " first-ms=" + (this.progress.firstByteAt() - this.arrivedAt)
 				+ " pause-ms=" + this.progress.longestPauseMs();
 	}
@@ -300,12 +300,12 @@
 		double draw = this.gateway.random.next();
 		long left = this.request.callerTimeoutMs() - (now - this.arrivedAt);
 		if (reason == RefusalReason.WORKERS_LIMITED) {
-			return RetryAfter.refillDelayMs(this.placing.limitWaitMs(now), left, draw);
+			return RetryAfter.refillDelayMs(this.placing.rateLimitWaitMs(now), left, draw);
 		}
 		boolean late = now > this.placing.latestStart();
 		boolean known = this.request.callerTimeoutMs() != Long.MAX_VALUE;
 		if (late && known && this.route.kind() == RouteKind.STREAM) {
-			return Math.max(1, RetryAfter.lateDelayMs(left, this.placing.answerMs(), draw));
+			return Math.max(1, RetryAfter.lateDelayMs(left, this.placing.generationMs(), draw));
 		}
 		return RetryAfter.delayMs(this.route, draw);
 	}
@@ -370,8 +370,8 @@
 	private void endAttempt() {
 		if (this.attempt != null) {
 			WorkerState w = this.attempt.worker();
-			w.ended();
-			w.lasted(this.gateway.clock.getAsLong() - this.attemptStartedAt);
+			w.requestEnded();
+			w.recordDuration(this.gateway.clock.getAsLong() - this.attemptStartedAt);
 			prefillFinished();
 			this.attempt = null;
 			this.gateway.onCapacityFreed(this.upstream, w.info().id());
--- a/src/main/java/io/shallotspur/gateway/RequestAdmission.java
+++ b/src/main/java/io/shallotspur/gateway/RequestAdmission.java
@@ -128,7 +128,7 @@
 	}
 
 	private double quotaCost(Customer c) {
-		PromptShape p = this.request.prompt();
+		PromptInfo p = this.request.prompt();
 		return (p != null) ? c.quota().cost(p.promptTokens(), p.maxOutputTokens()) : c.quota().plainCost();
 	}
 
--- /dev/null
+++ b/src/main/java/io/shallotspur/gateway/RequestPlacement.java
@@ -0,0 +1,436 @@
+package io.shallotspur.gateway;
+
+import java.util.HashSet;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+
+import org.jspecify.annotations.Nullable;
+
+import io.shallotspur.route.EngineSpec;
+import io.shallotspur.route.Route;
+import io.shallotspur.route.UpstreamSpec;
+
+/**
+ * Finds the worker of each attempt of one request, and what it takes to run there: for a
+ * plain call a worker, for a model request a reserved place at a decode worker and, if it
+ * is the shorter way, the KV cache from a prefill worker. Not thread-safe; confined to
+ * the gateway's thread.
+ * <p>
+ * Invariants: a reservation or KV cache that was got and not handed on is given back;
+ * {@link Callback} is told once for each {@link #start}, unless {@link #cancel} comes first.
+ */
+final class RequestPlacement implements ReservationQueue.PendingRequest {
+
+	// A late answer is still worth something to the caller, but one who has waited for
+	// twice its objective while others go first is told at once to come back after the
+	// burst, and not when it is about to leave: callers leave after four objectives.
+	private static final double MAX_WAIT_OBJECTIVES = 2;
+
+	// A prefill takes some 100 ms; one without an answer in several times that is at a
+	// worker that is cut off, ms.
+	private static final long MIN_PREFILL_TIMEOUT_MS = 400;
+
+	// A call that is sent this long before its reservation ends arrives in time, ms.
+	private static final long RESERVATION_MARGIN_MS = 50;
+
+	// The part of a reservation that a prefill may use up; the rest is for the call that
+	// follows it.
+	private static final double RESERVATION_PREFILL_FRACTION = 0.6;
+
+	// Of the time to the first event the rest is left for a decode worker that has to
+	// prefill by itself after all.
+	private static final double TARGET_PREFILL_FRACTION = 0.6;
+
+	// The part of the time to its latest start that a request waits at most for a limit.
+	// While more come than the limits let through, all who are let through wait so long,
+	// and their answers must not be late for the next small delay.
+	private static final double LIMIT_WAIT_FRACTION = 0.5;
+
+	private static final int MAX_PRIORITY = 9;
+
+	private final Gateway gateway;
+
+	private final AdmittedRequest admitted;
+
+	private final Route route;
+
+	private final RelayRequest request;
+
+	private final String upstream;
+
+	private final @Nullable EngineSpec engine;
+
+	private final Candidates candidates;
+
+	private final Callback callback;
+
+	private final long arrivedAt;
+
+	private final long deadline;
+
+	private final long firstArrivalAt;
+
+	private final Set<String> triedWorkers = new HashSet<>();
+
+	private ReservationQueue.@Nullable Ticket ticket;
+
+	private @Nullable PrefillStep prefillStep;
+
+	private final Set<String> triedPrefillWorkers = new HashSet<>();
+
+	private boolean prefillAttempted;
+
+	private @Nullable WorkerState target;
+
+	private @Nullable String reservation;
+
+	private @Nullable RateLimitWait limitWait;
+
+	private @Nullable KvSource source;
+
+	private long prefilledAt;
+
+	private long reservedAt;
+
+	private long waitStartedAt;
+
+	RequestPlacement(Gateway gateway, AdmittedRequest admitted, String upstream, @Nullable UpstreamSpec upstreamSpec, Callback callback, long arrivedAt,
+			long deadline) {
+		this.gateway = gateway;
+		this.admitted = admitted;
+		this.route = admitted.route();
+		this.request = admitted.request();
+		this.upstream = upstream;
+		this.engine = (upstreamSpec != null) ? upstreamSpec.engine() : null;
+		this.candidates = new Candidates(gateway, upstream, (upstreamSpec != null) ? upstreamSpec.connectionLimit() : Integer.MAX_VALUE);
+		this.callback = callback;
+		this.arrivedAt = arrivedAt;
+		this.deadline = deadline;
+		this.firstArrivalAt = arrivedAt - gateway.requestAges.ageMs(this.route.name(), this.request.callerTimeoutMs());
+	}
+
+	void start(long now) {
+		// A caller whose answer broke off after some seconds waits for its next event
+		// as long as for its first. Counted from its arrival its patience would be over,
+		// and an answer that could go on elsewhere would end.
+		this.waitStartedAt = now;
+		EngineSpec engineSpec = this.engine;
+		boolean reserves = engineSpec != null && engineSpec.holdMs() > 0 && this.request.prompt() != null;
+		Optional<WorkerState> first = this.candidates.soonestAvailable(stage(), this.triedWorkers, now);
+		long limitWait = first.map((w) -> this.gateway.workerLimits.waitMs(w, now)).orElse(0L);
+		if (first.isEmpty()) {
+			this.callback.onRefused(RefusalReason.NO_WORKER, now);
+		}
+		else if (limitWait > 0 && limitWait > (reserves ? waitDeadline() - now : maxLimitWaitMs(now))) {
+			this.callback.onRefused(RefusalReason.WORKERS_LIMITED, now);
+		}
+		else if (reserves) {
+			ReservationQueue.Ticket newTicket = this.gateway.reservationQueue(this.upstream).enqueue(this, now);
+			this.ticket = newTicket.isClosed() ? null : newTicket;
+		}
+		else if (limitWait > 0) {
+			waitForLimit(first.get(), now);
+		}
+		else {
+			WorkerSelector.leastCost(candidates(now), this.gateway.settings.hall(), this.gateway.random, now)
+				.ifPresentOrElse((w) -> prefillOrSend(w, now), () -> this.callback.onRefused(RefusalReason.WORKERS_FULL, now));
+		}
+	}
+
+	/**
+	 * Returns how long it takes until a worker may be sent another request.
+	 * @param now the present time in milliseconds
+	 * @return milliseconds; 0 if one names no limit or has room, {@link Long#MAX_VALUE}
+	 * if that is not known
+	 */
+	long rateLimitWaitMs(long now) {
+		return this.candidates.soonestAvailable(stage(), this.triedWorkers, now)
+			.map((w) -> this.gateway.workerLimits.waitMs(w, now))
+			.orElse(0L);
+	}
+
+	private long maxLimitWaitMs(long now) {
+		return (long) (LIMIT_WAIT_FRACTION * Math.max(0, latestStart() - now));
+	}
+
+	private void waitForLimit(WorkerState w, long now) {
+		this.gateway.metrics.waitedForLimit();
+		this.limitWait = new RateLimitWait(this.gateway, w, new RateLimitWait.Listener() {
+
+			@Override
+			public long waitDeadline() {
+				return RequestPlacement.this.waitDeadline();
+			}
+
+			@Override
+			public void onReady(WorkerState worker, long at) {
+				RequestPlacement.this.limitWait = null;
+				RequestPlacement.this.reservedAt = at;
+				prefillOrSend(worker, at);
+			}
+
+			@Override
+			public void onWorkerGone(long at) {
+				RequestPlacement.this.limitWait = null;
+				start(at);
+			}
+
+			@Override
+			public void onTooLate(long at) {
+				RequestPlacement.this.limitWait = null;
+				RequestPlacement.this.callback.onRefused(RefusalReason.WORKERS_LIMITED, at);
+			}
+
+		});
+		this.limitWait.start(now);
+	}
+
+	/**
+	 * Returns when the newest reservation was got.
+	 * @return the time in milliseconds, or 0 if there was none
+	 */
+	long reservedAt() {
+		return this.reservedAt;
+	}
+
+	boolean hasCandidates(long now) {
+		return !candidates(now).isEmpty();
+	}
+
+	@Override
+	public List<WorkerState> candidates(long now) {
+		return this.candidates.available(stage(), this.triedWorkers, now);
+	}
+
+	/**
+	 * Returns what a worker has to do to run the request.
+	 * @return the stage
+	 */
+	WorkerStage stage() {
+		return (this.engine != null) ? WorkerStage.DECODE : WorkerStage.PLAIN;
+	}
+
+	@Override
+	public int requiredTokens() {
+		PromptInfo p = this.request.prompt();
+		return (p != null) ? this.gateway.engineTimes(this.upstream).reservationTokens(p, this.callback.receivedTokens()) : 0;
+	}
+
+	@Override
+	public int priority() {
+		return Math.min(MAX_PRIORITY, this.admitted.priority());
+	}
+
+	@Override
+	public long latestStart() {
+		return this.firstArrivalAt + this.route.targetMs() - this.gateway.engineTimes(this.upstream).timeToFirstEventMs();
+	}
+
+	@Override
+	public long waitDeadline() {
+		long maxWaitEnd = this.waitStartedAt + (long) (MAX_WAIT_OBJECTIVES * this.route.targetMs());
+		return Math.min(this.deadline - generationMs(), maxWaitEnd);
+	}
+
+	/**
+	 * Returns how long the rest of the answer will likely take once it goes on. A request
+	 * that is placed with less time than that left holds memory for seconds, and its
+	 * caller's deadline passes in the middle of its answer.
+	 * @return milliseconds; 0 if the request does not say how long it is
+	 */
+	long generationMs() {
+		PromptInfo p = this.request.prompt();
+		return (p != null)
+				? this.gateway.engineTimes(this.upstream).generationMs(Math.max(0, p.expectedOutputTokens() - this.callback.receivedTokens())) : 0;
+	}
+
+	@Override
+	public long reservationMs() {
+		return (this.engine != null) ? this.engine.holdMs() : 0;
+	}
+
+	@Override
+	public void onReserved(WorkerState worker, String reservation, long now) {
+		this.ticket = null;
+		this.reservation = reservation;
+		this.reservedAt = now;
+		prefillOrSend(worker, now);
+	}
+
+	@Override
+	public void onRejected(long now) {
+		this.ticket = null;
+		this.callback.onRefused(RefusalReason.WORKERS_FULL, now);
+	}
+
+	private void prefillOrSend(WorkerState w, long now) {
+		this.target = w;
+		PromptInfo prompt = this.request.prompt();
+		if (this.engine == null || prompt == null || this.prefillAttempted) {
+			send(now);
+			return;
+		}
+		if (this.reservation != null && !isReservationValid(w, now)) {
+			restart(now);
+			return;
+		}
+		prefillOrSend(prompt, false, now);
+	}
+
+	private void prefillOrSend(PromptInfo prompt, boolean retry, long now) {
+		List<WorkerState> prefillWorkers = this.candidates.available(WorkerStage.PREFILL, this.triedPrefillWorkers, now);
+		Optional<WorkerState> prefillWorker = PrefillSelector.select(prompt, prefillWorkers, this.target, wouldStall(prompt), this.gateway.settings.hall(),
+				this.gateway.random, now);
+		if (prefillWorker.isEmpty() || (retry && !this.callback.mayRetryPrefill(now))) {
+			send(now);
+			return;
+		}
+		this.prefillAttempted = true;
+		this.triedPrefillWorkers.add(prefillWorker.get().info().id());
+		this.prefillStep = new PrefillStep(this.gateway, prefillWorker.get(), prompt, this::onPrefillResult);
+		this.prefillStep.start(new WorkerCall(this.request, prefillWorker.get().info(), Math.max(1, this.deadline - now), priority(),
+				this.callback.lastEventId(), null, null, this.admitted.customerName()), prefillTimeoutMs());
+	}
+
+	private boolean wouldStall(PromptInfo prompt) {
+		return this.engine != null && this.gateway.engineTimes(this.upstream)
+			.statistics()
+			.filter((f) -> f.wouldStall(prompt.promptTokens(), this.engine.eventTokens(), this.route.gapMs()))
+			.isPresent();
+	}
+
+	// As long as prefills take lately; the reservation must outlast it.
+	private long prefillTimeoutMs() {
+		long defaultMs = Math.max(MIN_PREFILL_TIMEOUT_MS, (long) (this.route.targetMs() * TARGET_PREFILL_FRACTION));
+		long maxMs = Math.max(defaultMs, (long) (RESERVATION_PREFILL_FRACTION * reservationMs()));
+		long expectedMs = this.gateway.engineTimes(this.upstream).prefillTimeoutMs();
+		return (expectedMs > 0) ? Math.min(maxMs, Math.max(MIN_PREFILL_TIMEOUT_MS, expectedMs)) : defaultMs;
+	}
+
+	private void onPrefillResult(PrefillStep.Result result) {
+		long now = this.gateway.clock.getAsLong();
+		this.prefillStep = null;
+		this.source = result.source();
+		this.prefilledAt = now;
+		if (result.failure() != null) {
+			this.callback.log("prefill failed seen=\"" + result.failure() + "\" refused=" + result.refused(), now);
+		}
+		PromptInfo prompt = this.request.prompt();
+		if (result.refused() && !this.callback.mayContinueAfterRefusedPrefill(now)) {
+			cancel();
+			this.callback.onRefused(RefusalReason.WORKERS_FULL, now);
+		}
+		else if (result.source() == null && !result.refused() && prompt != null && wouldStall(prompt)) {
+			prefillOrSend(prompt, true, now);
+		}
+		else {
+			send(now);
+		}
+	}
+
+	private void send(long now) {
+		WorkerState worker = this.target;
+		if (worker == null) {
+			return;
+		}
+		if (this.source != null && !isCacheValid(this.source, now)) {
+			this.gateway.workerPort.releaseKvCache(this.source);
+			this.source = null;
+		}
+		if (this.reservation != null && !isReservationValid(worker, now)) {
+			restart(now);
+			return;
+		}
+		if (this.reservation != null) {
+			worker.limit().releaseReservation();
+		}
+		this.triedWorkers.add(worker.info().id());
+		WorkerCall call = new WorkerCall(this.request, worker.info(), Math.max(1, this.deadline - now), priority(), null,
+				this.source, this.reservation, this.admitted.customerName());
+		this.target = null;
+		this.source = null;
+		this.reservation = null;
+		this.callback.onReady(worker, call, now);
+	}
+
+	// A place is lost when its worker starts again while the prompt is read elsewhere, or
+	// when that takes too long. Sent all the same, the request would be let in without
+	// memory of its own, and a running one be dropped for it. It is of no use either at a
+	// worker that leaves: the request would come late, and its answer break off.
+	private boolean isReservationValid(WorkerState w, long now) {
+		return w.isActive(now) && this.gateway.roster.isCurrentInstance(w.info()) && now < this.reservedAt + reservationMs() - RESERVATION_MARGIN_MS;
+	}
+
+	private boolean isCacheValid(KvSource s, long now) {
+		long ttl = (this.engine != null) ? this.engine.handleTtlMs() : 0;
+		return this.gateway.roster.isCurrentInstance(s.worker()) && (ttl <= 0 || now - this.prefilledAt < ttl);
+	}
+
+	// What was read stays of use for a fraction of a second.
+	private void restart(long now) {
+		KvSource cache = this.source;
+		this.source = null;
+		cancel();
+		this.source = cache;
+		start(now);
+	}
+
+	/**
+	 * Gives up what is under way and gives back what was got.
+	 */
+	void cancel() {
+		if (this.ticket != null) {
+			this.gateway.reservationQueue(this.upstream).cancel(this.ticket);
+			this.ticket = null;
+		}
+		if (this.prefillStep != null) {
+			this.prefillStep.cancel();
+			this.prefillStep = null;
+		}
+		if (this.source != null) {
+			this.gateway.workerPort.releaseKvCache(this.source);
+			this.source = null;
+		}
+		if (this.limitWait != null) {
+			this.limitWait.cancel();
+			this.limitWait = null;
+		}
+		if (this.reservation != null && this.target != null) {
+			this.target.limit().releaseReservation();
+			this.gateway.workerPort.cancelReservation(this.target.info(), this.reservation);
+			this.reservation = null;
+		}
+		this.target = null;
+	}
+
+	/**
+	 * Hears where the request goes.
+	 */
+	interface Callback {
+
+		// Send the call.
+		void onReady(WorkerState worker, WorkerCall call, long now);
+
+		// No worker takes it.
+		void onRefused(RefusalReason reason, long now);
+
+		// A prefill was refused, which counts as an attempt: is another allowed?
+		boolean mayContinueAfterRefusedPrefill(long now);
+
+		// Only the first prefill that a worker takes is free of the attempts and of the
+		// budget. May another one be spent, and the request be run after it?
+		boolean mayRetryPrefill(long now);
+
+		// Tokens of the answer that the caller has, as far as that is known.
+		int receivedTokens();
+
+		// The event after which the answer is to go on, if the caller has its beginning.
+		@Nullable String lastEventId();
+
+		// Something for the log.
+		void log(String message, long now);
+
+	}
+
+}
--- a/src/main/java/io/shallotspur/gateway/HoldListener.java
+++ b/src/main/java/io/shallotspur/gateway/ReservationListener.java
@@ -2,31 +2,31 @@
 
 /**
  * Hears what becomes of a call for a reservation, on the gateway's thread. One of the
- * methods other than {@link #onNews} is called, once.
+ * methods other than {@link #onStatus} is called, once.
  */
-public interface HoldListener {
+public interface ReservationListener {
 
 	/**
 	 * What the worker says of itself, before what follows.
-	 * @param news the news
+	 * @param status the news
 	 */
-	void onNews(WorkerNews news);
+	void onStatus(WorkerStatus status);
 
 	/**
 	 * A place and memory are reserved.
-	 * @param hold the reservation's name at the worker; can be used once
+	 * @param reservation the reservation's name at the worker; can be used once
 	 */
-	void onHeld(String hold);
+	void onReserved(String reservation);
 
 	/**
 	 * The worker has no room.
 	 */
-	void onFull();
+	void onNoCapacity();
 
 	/**
 	 * Another incarnation has the worker's address.
 	 */
-	void onReplaced();
+	void onInstanceReplaced();
 
 	/**
 	 * The worker did not answer.
--- a/src/main/java/io/shallotspur/gateway/ResponseHead.java
+++ b/src/main/java/io/shallotspur/gateway/ResponseHead.java
@@ -14,7 +14,7 @@
  * @param workerStatus what the worker says of itself
  */
 public record ResponseHead(int status, List<HeaderField> headers, ResponseAuthenticity authenticity, boolean notRun,
-		boolean otherIncarnation, WorkerNews workerStatus) {
+		boolean otherIncarnation, WorkerStatus workerStatus) {
 
 	private static final int MIN_SUCCESS_STATUS = 200;
 
--- a/src/main/java/io/shallotspur/gateway/ResponseProgress.java
+++ b/src/main/java/io/shallotspur/gateway/ResponseProgress.java
@@ -12,7 +12,7 @@
 
 	private final int tokensPerEvent;
 
-	private final AnswerPace pace = new AnswerPace();
+	private final EventTiming pace = new EventTiming();
 
 	private @Nullable String lastEventId;
 
@@ -45,11 +45,11 @@
 	 * @return tokens, as far as the operator says how many an event has
 	 */
 	int receivedTokens() {
-		return this.pace.events() * this.tokensPerEvent;
+		return this.pace.eventCount() * this.tokensPerEvent;
 	}
 
 	long longestPauseMs() {
-		return this.pace.longestPauseMs();
+		return this.pace.maxGapMs();
 	}
 
 	/**
@@ -59,16 +59,16 @@
 	 * @param times learn the pace
 	 * @param now the present time in milliseconds
 	 */
-	void recordEvent(byte[] event, long attemptAt, EngineTimes times, long now) {
+	void recordEvent(byte[] event, long attemptAt, EngineTimeEstimator times, long now) {
 		String id = EventSplitter.eventId(event);
 		if (!id.isEmpty()) {
 			this.lastEventId = id;
 		}
 		// A pause in which the worker was lost and another one found is not the engine's.
-		boolean sameAttempt = this.pace.latestAt() > attemptAt;
-		long pause = this.pace.event(now);
+		boolean sameAttempt = this.pace.lastEventAt() > attemptAt;
+		long pause = this.pace.recordEvent(now);
 		if (sameAttempt) {
-			times.event(pause, this.tokensPerEvent);
+			times.recordEvent(pause, this.tokensPerEvent);
 		}
 	}
 
--- a/src/main/java/io/shallotspur/gateway/SmoothedTime.java
+++ b/src/main/java/io/shallotspur/gateway/SmoothedTime.java
@@ -9,7 +9,7 @@
 
 	private final double weight;
 
-	private boolean known;
+	private boolean initialized;
 
 	private double meanMs;
 
@@ -24,8 +24,8 @@
 	}
 
 	void add(double ms) {
-		if (!this.known) {
-			this.known = true;
+		if (!this.initialized) {
+			this.initialized = true;
 			this.meanMs = ms;
 			this.deviationMs = ms / 2;
 			return;
@@ -39,7 +39,7 @@
 	 * @param deviations how many deviations
 	 * @return milliseconds; 0 if nothing was added
 	 */
-	double ms(double deviations) {
+	double estimateMs(double deviations) {
 		return this.meanMs + deviations * this.deviationMs;
 	}
 
--- a/src/main/java/io/shallotspur/gateway/Roster.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerDirectory.java
@@ -16,15 +16,15 @@
  * <p>
  * Invariant: a worker that is leaving or gone is never a candidate.
  */
-public final class Roster {
+public final class WorkerDirectory {
 
 	private final Map<String, WorkerState> byId = new LinkedHashMap<>();
 
-	private final Map<String, OutlierDetector> outliers = new HashMap<>();
+	private final Map<String, OutlierDetector> outlierDetectors = new HashMap<>();
 
 	// What workers are announced to change over to. While one does, it refuses, and a
 	// refused prefill is the only attempt that some routes have.
-	private final Map<String, WorkerStage> marks = new HashMap<>();
+	private final Map<String, WorkerStage> announcedStages = new HashMap<>();
 
 	/**
 	 * Takes a worker's entry in the registry. A worker that has started again under its
@@ -34,21 +34,21 @@
 	 * @param info the entry
 	 * @param now the present time in milliseconds
 	 */
-	public void seen(WorkerInfo info, long now) {
-		WorkerState s = this.byId.get(info.id());
-		if (s != null && s.info().isRestartOf(info)) {
+	public void updateEntry(WorkerInfo info, long now) {
+		WorkerState known = this.byId.get(info.id());
+		if (known != null && known.info().isRestartOf(info)) {
 			return;
 		}
-		if (s != null && !info.isRestartOf(s.info())) {
-			s.update(info, now);
+		if (known != null && !info.isRestartOf(known.info())) {
+			known.update(info, now);
 			return;
 		}
 		this.byId.put(info.id(), new WorkerState(info, now));
-		if (s != null) {
-			s.end();
-			detector(s.info().upstream()).removed(info.id());
+		if (known != null) {
+			known.terminate();
+			outlierDetector(known.info().upstream()).removed(info.id());
 		}
-		detector(info.upstream()).added(info.id());
+		outlierDetector(info.upstream()).added(info.id());
 	}
 
 	/**
@@ -57,7 +57,7 @@
 	 * @param info the worker as it was seen
 	 * @return {@code false} if it has started again since
 	 */
-	boolean lives(WorkerInfo info) {
+	boolean isCurrentInstance(WorkerInfo info) {
 		WorkerState s = this.byId.get(info.id());
 		return s == null || !s.info().isRestartOf(info);
 	}
@@ -65,24 +65,24 @@
 	/**
 	 * Takes the removal of a worker's entry.
 	 * @param id the worker
-	 * @param until until when the worker may still be used, in milliseconds, the present
+	 * @param graceEnd until when the worker may still be used, in milliseconds, the present
 	 * or a past time if not at all: entries that lapsed while the registry was away come
 	 * back if the worker lives
 	 */
-	public void vanished(String id, long until) {
+	public void entryRemoved(String id, long graceEnd) {
 		WorkerState s = this.byId.get(id);
 		if (s != null) {
-			s.vanishesAt(until);
+			s.scheduleRemoval(graceEnd);
 		}
 	}
 
 	/**
 	 * Waits longer for workers whose entries are gone and may come back.
 	 * @param now the present time in milliseconds
-	 * @param until until when those that are still used may be, in milliseconds
+	 * @param graceEnd until when those that are still used may be, in milliseconds
 	 */
-	public void waitForVanished(long now, long until) {
-		this.byId.values().forEach((s) -> s.vanishesLater(now, until));
+	public void extendGracePeriods(long now, long graceEnd) {
+		this.byId.values().forEach((s) -> s.postponeRemoval(now, graceEnd));
 	}
 
 	/**
@@ -90,13 +90,13 @@
 	 * only seconds later; until then each request sent there would come back unrun. A
 	 * worker that has changed over meanwhile answers in the same way and is kept.
 	 * @param id the worker that was meant
-	 * @param asked the stage for which it was asked
+	 * @param expectedStage the stage for which it was asked
 	 * @param now the present time in milliseconds
 	 */
-	void replaced(String id, WorkerStage asked, long now) {
+	void instanceReplaced(String id, WorkerStage expectedStage, long now) {
 		WorkerState s = this.byId.get(id);
-		if (s != null && s.info().stage() == asked) {
-			vanished(id, now);
+		if (s != null && s.info().stage() == expectedStage) {
+			entryRemoved(id, now);
 		}
 	}
 
@@ -105,24 +105,24 @@
 	 * @param id the worker
 	 * @param stage what it is going to do
 	 */
-	public void marked(String id, WorkerStage stage) {
-		this.marks.put(id, stage);
+	public void stageChangeAnnounced(String id, WorkerStage stage) {
+		this.announcedStages.put(id, stage);
 	}
 
 	/**
 	 * Takes that nothing is announced for a worker any more.
 	 * @param id the worker
 	 */
-	public void unmarked(String id) {
-		this.marks.remove(id);
+	public void stageChangeWithdrawn(String id) {
+		this.announcedStages.remove(id);
 	}
 
 	/**
 	 * Takes a whole listing: announcements that it lacks are no more.
 	 * @param ids the workers for which something is announced
 	 */
-	public void retainMarks(Set<String> ids) {
-		this.marks.keySet().retainAll(ids);
+	public void retainStageChanges(Set<String> ids) {
+		this.announcedStages.keySet().retainAll(ids);
 	}
 
 	/**
@@ -132,12 +132,12 @@
 	 * @param now the present time in milliseconds
 	 * @return their entries
 	 */
-	public List<WorkerInfo> staying(String upstream, long now) {
-		sweep(now);
+	public List<WorkerInfo> activeWorkers(String upstream, long now) {
+		removeExpired(now);
 		return this.byId.values()
 			.stream()
-			.filter((s) -> s.info().upstream().equals(upstream) && !s.info().leaving() && s.reachable(now))
-			.map((s) -> s.info().withStage(this.marks.getOrDefault(s.info().id(), s.info().stage())))
+			.filter((s) -> s.info().upstream().equals(upstream) && !s.info().draining() && s.isReachable(now))
+			.map((s) -> s.info().withStage(this.announcedStages.getOrDefault(s.info().id(), s.info().stage())))
 			.toList();
 	}
 
@@ -145,7 +145,7 @@
 	 * Returns all workers that are known, those included that leave.
 	 * @return a copy of their ids
 	 */
-	public Set<String> ids() {
+	public Set<String> workerIds() {
 		return Set.copyOf(this.byId.keySet());
 	}
 
@@ -159,20 +159,20 @@
 		return (s != null) ? s.info().startedAt() : 0;
 	}
 
-	private boolean changingOver(WorkerInfo i) {
-		WorkerStage next = this.marks.get(i.id());
+	private boolean isChangingStage(WorkerInfo i) {
+		WorkerStage next = this.announcedStages.get(i.id());
 		return next != null && next != i.stage();
 	}
 
 	/**
 	 * Takes a whole listing of the registry: workers that it lacks have vanished.
 	 * @param ids the ids of all entries
-	 * @param until as in {@link #vanished}
+	 * @param graceEnd as in {@link #entryRemoved}
 	 */
-	public void retain(Set<String> ids, long until) {
+	public void retainEntries(Set<String> ids, long graceEnd) {
 		for (String id : this.byId.keySet()) {
 			if (!ids.contains(id)) {
-				vanished(id, until);
+				entryRemoved(id, graceEnd);
 			}
 		}
 	}
@@ -183,40 +183,40 @@
 	 * @return the number of workers
 	 */
 	public int size(long now) {
-		sweep(now);
+		removeExpired(now);
 		return this.byId.size();
 	}
 
 	// Workers that fail or lag are left out unless all others are.
-	List<WorkerState> candidates(String upstream, Set<WorkerStage> stages, Set<String> tried, long now) {
-		sweep(now);
+	List<WorkerState> candidates(String upstream, Set<WorkerStage> stages, Set<String> excluded, long now) {
+		removeExpired(now);
 		List<WorkerState> all = new ArrayList<>();
-		List<WorkerState> well = new ArrayList<>();
-		OutlierDetector d = detector(upstream);
+		List<WorkerState> healthy = new ArrayList<>();
+		OutlierDetector d = outlierDetector(upstream);
 		for (WorkerState s : this.byId.values()) {
 			WorkerInfo i = s.info();
-			if (!i.upstream().equals(upstream) || i.leaving() || !stages.contains(i.stage()) || tried.contains(i.id())
-					|| changingOver(i)) {
+			if (!i.upstream().equals(upstream) || i.draining() || !stages.contains(i.stage()) || excluded.contains(i.id())
+					|| isChangingStage(i)) {
 				continue;
 			}
 			all.add(s);
-			if (s.reachable(now) && d.health(i.id(), now) != WorkerHealth.OUT) {
-				well.add(s);
+			if (s.isReachable(now) && d.health(i.id(), now) != WorkerHealth.OUT) {
+				healthy.add(s);
 			}
 		}
-		return well.isEmpty() ? all : well;
+		return healthy.isEmpty() ? all : healthy;
 	}
 
-	OutlierDetector detector(String upstream) {
-		return this.outliers.computeIfAbsent(upstream, (u) -> new OutlierDetector());
+	OutlierDetector outlierDetector(String upstream) {
+		return this.outlierDetectors.computeIfAbsent(upstream, (u) -> new OutlierDetector());
 	}
 
-	private void sweep(long now) {
+	private void removeExpired(long now) {
 		this.byId.values().removeIf((s) -> {
-			if (!s.vanished(now)) {
+			if (!s.isRemoved(now)) {
 				return false;
 			}
-			detector(s.info().upstream()).removed(s.info().id());
+			outlierDetector(s.info().upstream()).removed(s.info().id());
 			return true;
 		});
 	}
--- a/src/main/java/io/shallotspur/gateway/WorkerInfo.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerInfo.java
@@ -10,12 +10,12 @@
  * @param hall where it runs
  * @param slots requests it works on at once
  * @param stage what it does
- * @param leaving whether it wants no new requests
- * @param coldMs how much longer it is slow after its start, in milliseconds
+ * @param draining whether it wants no new requests
+ * @param warmUpMs how much longer it is slow after its start, in milliseconds
  * @param startedAt when it started, in Unix milliseconds; 0 if it does not say
  */
 public record WorkerInfo(String id, String upstream, String host, int port, String hall, int slots, WorkerStage stage,
-		boolean leaving, long coldMs, long startedAt) {
+		boolean draining, long warmUpMs, long startedAt) {
 
 	/**
 	 * Returns this worker as one that does something else.
@@ -23,17 +23,17 @@
 	 * @return an entry that differs in that only
 	 */
 	public WorkerInfo withStage(WorkerStage other) {
-		return new WorkerInfo(this.id, this.upstream, this.host, this.port, this.hall, this.slots, other, this.leaving,
-				this.coldMs, this.startedAt);
+		return new WorkerInfo(this.id, this.upstream, this.host, this.port, this.hall, this.slots, other, this.draining,
+				this.warmUpMs, this.startedAt);
 	}
 
 	/**
 	 * Returns this worker as one that wants no new requests.
 	 * @return an entry that differs in that only
 	 */
-	public WorkerInfo asLeaving() {
+	public WorkerInfo asDraining() {
 		return new WorkerInfo(this.id, this.upstream, this.host, this.port, this.hall, this.slots, this.stage, true,
-				this.coldMs, this.startedAt);
+				this.warmUpMs, this.startedAt);
 	}
 
 	/**
--- a/src/main/java/io/shallotspur/gateway/WorkerPort.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerPort.java
@@ -34,7 +34,7 @@
 	 * @param ttlMs how long the reservation lasts, in milliseconds
 	 * @param listener hears the result
 	 */
-	void reserve(WorkerInfo worker, int tokens, long ttlMs, HoldListener listener);
+	void reserve(WorkerInfo worker, int tokens, long ttlMs, ReservationListener listener);
 
 	/**
 	 * Gives a reservation back that will not be used.
--- a/src/main/java/io/shallotspur/gateway/WorkerState.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerState.java
@@ -18,49 +18,49 @@
 	// A report is good for half of the time that requests last here, and at least for so
 	// long, ms. With a fixed time, long answers would be forgotten while they run, and
 	// workers that have many would be given more.
-	private static final double LEAST_HALF_LIFE_MS = 300;
+	private static final double MIN_HALF_LIFE_MS = 300;
 
-	private static final double HALF_LIFE_SHARE = 0.5;
+	private static final double HALF_LIFE_FRACTION = 0.5;
 
 	// Weight of the newest request in the time that requests last.
-	private static final double LASTED_WEIGHT = 0.1;
+	private static final double DURATION_WEIGHT = 0.1;
 
 	// Weight of the newest outcome in the failure rate: the last ten or so count.
 	private static final double FAILURE_WEIGHT = 0.1;
 
 	// A worker that took no connection is left alone for so long, ms: most crashed ones
 	// are back or gone from the registry within a few seconds.
-	private static final long UNREACHABLE_MS = 1_000;
+	private static final long UNREACHABLE_BACKOFF_MS = 1_000;
 
 	private WorkerInfo info;
 
-	private int running;
+	private int activeRequests;
 
-	private int prefilling;
+	private int activePrefills;
 
-	private @Nullable LoadReport report;
+	private @Nullable LoadReport loadReport;
 
-	private int runningAtReport;
+	private int activeRequestsAtReport;
 
-	private long reportedAt;
+	private long loadReportedAt;
 
-	private double lastedMs;
+	private double meanDurationMs;
 
 	private double failureRate;
 
-	private long coldUntil;
+	private long warmUpEnd;
 
-	private long vanishAt = Long.MAX_VALUE;
+	private long removalAt = Long.MAX_VALUE;
 
 	private long unreachableUntil;
 
 	private final WorkerRateLimiter limit = new WorkerRateLimiter();
 
-	private final Set<Runnable> onEnd = new LinkedHashSet<>();
+	private final Set<Runnable> terminationListeners = new LinkedHashSet<>();
 
 	WorkerState(WorkerInfo info, long now) {
 		this.info = info;
-		this.coldUntil = now + info.coldMs();
+		this.warmUpEnd = now + info.warmUpMs();
 	}
 
 	WorkerInfo info() {
@@ -69,32 +69,32 @@
 
 	void update(WorkerInfo next, long now) {
 		this.info = next;
-		this.coldUntil = now + next.coldMs();
-		this.vanishAt = Long.MAX_VALUE;
+		this.warmUpEnd = now + next.warmUpMs();
+		this.removalAt = Long.MAX_VALUE;
 	}
 
-	void vanishesAt(long at) {
-		this.vanishAt = Math.min(this.vanishAt, at);
+	void scheduleRemoval(long at) {
+		this.removalAt = Math.min(this.removalAt, at);
 	}
 
-	void vanishesLater(long now, long at) {
-		if (onGrace() && !vanished(now)) {
-			this.vanishAt = Math.max(this.vanishAt, at);
+	void postponeRemoval(long now, long at) {
+		if (inGracePeriod() && !isRemoved(now)) {
+			this.removalAt = Math.max(this.removalAt, at);
 		}
 	}
 
 	// Its entry is gone, and it is used for a while in case it comes back.
-	boolean onGrace() {
-		return this.vanishAt != Long.MAX_VALUE;
+	boolean inGracePeriod() {
+		return this.removalAt != Long.MAX_VALUE;
 	}
 
-	boolean vanished(long now) {
-		return now >= this.vanishAt;
+	boolean isRemoved(long now) {
+		return now >= this.removalAt;
 	}
 
 	// Neither says that it leaves, nor has left.
-	boolean stays(long now) {
-		return !this.info.leaving() && !vanished(now);
+	boolean isActive(long now) {
+		return !this.info.draining() && !isRemoved(now);
 	}
 
 	/**
@@ -102,57 +102,57 @@
 	 * that crashed behind a cut is silent, and its request would wait for its deadline.
 	 * @param task run once, unless it is forgotten before
 	 */
-	void whenEnded(Runnable task) {
-		this.onEnd.add(task);
+	void addTerminationListener(Runnable task) {
+		this.terminationListeners.add(task);
 	}
 
-	void forget(Runnable task) {
-		this.onEnd.remove(task);
+	void removeTerminationListener(Runnable task) {
+		this.terminationListeners.remove(task);
 	}
 
-	void end() {
-		List.copyOf(this.onEnd).forEach(Runnable::run);
+	void terminate() {
+		List.copyOf(this.terminationListeners).forEach(Runnable::run);
 	}
 
-	void unreachable(long now) {
-		this.unreachableUntil = now + UNREACHABLE_MS;
+	void markUnreachable(long now) {
+		this.unreachableUntil = now + UNREACHABLE_BACKOFF_MS;
 	}
 
-	boolean reachable(long now) {
+	boolean isReachable(long now) {
 		return now >= this.unreachableUntil;
 	}
 
-	void started() {
-		this.running++;
+	void requestStarted() {
+		this.activeRequests++;
 	}
 
-	void ended() {
-		this.running--;
+	void requestEnded() {
+		this.activeRequests--;
 	}
 
 	// Requests, prefills and reservations of this VM that are under way; each has a
 	// connection.
-	int running() {
-		return this.running;
+	int activeRequests() {
+		return this.activeRequests;
 	}
 
 	// The start or end of a prefill that this VM has a decode worker do itself.
-	void prefilling(int change) {
-		this.prefilling += change;
+	void adjustActivePrefills(int change) {
+		this.activePrefills += change;
 	}
 
-	int prefilling() {
-		return this.prefilling;
+	int activePrefills() {
+		return this.activePrefills;
 	}
 
-	boolean cold(long now) {
-		return now < this.coldUntil;
+	boolean isWarmingUp(long now) {
+		return now < this.warmUpEnd;
 	}
 
-	void reported(LoadReport r, long now) {
-		this.report = r;
-		this.runningAtReport = this.running;
-		this.reportedAt = now;
+	void recordLoad(LoadReport r, long now) {
+		this.loadReport = r;
+		this.activeRequestsAtReport = this.activeRequests;
+		this.loadReportedAt = now;
 	}
 
 	WorkerRateLimiter limit() {
@@ -163,29 +163,29 @@
 	 * Takes how long a request was at the worker.
 	 * @param ms its time there, in milliseconds
 	 */
-	void lasted(long ms) {
-		this.lastedMs = (this.lastedMs > 0) ? this.lastedMs + LASTED_WEIGHT * (ms - this.lastedMs) : ms;
+	void recordDuration(long ms) {
+		this.meanDurationMs = (this.meanDurationMs > 0) ? this.meanDurationMs + DURATION_WEIGHT * (ms - this.meanDurationMs) : ms;
 	}
 
 	private double halfLifeMs() {
-		return Math.max(LEAST_HALF_LIFE_MS, HALF_LIFE_SHARE * this.lastedMs);
+		return Math.max(MIN_HALF_LIFE_MS, HALF_LIFE_FRACTION * this.meanDurationMs);
 	}
 
 	// How many requests are at the worker by estimate, those of other VMs included.
-	double load(long now) {
-		LoadReport r = this.report;
+	double estimatedLoad(long now) {
+		LoadReport r = this.loadReport;
 		if (r == null) {
-			return this.running;
+			return this.activeRequests;
 		}
-		double others = Math.max(0, r.running() + r.waiting() - this.runningAtReport);
-		return this.running + others * Math.pow(0.5, (now - this.reportedAt) / halfLifeMs());
+		double others = Math.max(0, r.running() + r.waiting() - this.activeRequestsAtReport);
+		return this.activeRequests + others * Math.pow(0.5, (now - this.loadReportedAt) / halfLifeMs());
 	}
 
-	double occupancy(long now) {
-		return load(now) / Math.max(1, this.info.slots());
+	double utilization(long now) {
+		return estimatedLoad(now) / Math.max(1, this.info.slots());
 	}
 
-	void outcome(boolean failed) {
+	void recordOutcome(boolean failed) {
 		this.failureRate += FAILURE_WEIGHT * ((failed ? 1 : 0) - this.failureRate);
 	}
 
--- a/src/main/java/io/shallotspur/gateway/WorkerNews.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerStatus.java
@@ -9,9 +9,9 @@
  * @param limit how many requests it takes, or {@code null} if the answer does not show
  * whether it still names a limit
  */
-public record WorkerNews(@Nullable LoadReport load, @Nullable WorkerRateLimit limit) {
+public record WorkerStatus(@Nullable LoadReport load, @Nullable WorkerRateLimit limit) {
 
 	/** An answer from which nothing is learned. */
-	public static final WorkerNews NONE = new WorkerNews(null, null);
+	public static final WorkerStatus NONE = new WorkerStatus(null, null);
 
 }
--- a/src/main/java/io/shallotspur/platform/AnswerDecoder.java
+++ b/src/main/java/io/shallotspur/platform/AnswerDecoder.java
@@ -10,7 +10,7 @@
 import io.shallotspur.gateway.ResponseAuthenticity;
 import io.shallotspur.gateway.LoadReport;
 import io.shallotspur.gateway.WorkerRateLimit;
-import io.shallotspur.gateway.WorkerNews;
+import io.shallotspur.gateway.WorkerStatus;
 
 /**
  * Decodes the head of a worker's answer. Stateless.
@@ -32,7 +32,7 @@
 		// Another incarnation, and an answer to another request, say nothing of this
 		// worker at present.
 		boolean whole = origin == ResponseAuthenticity.SIGNED && HttpStatusClass.SUCCESS.contains(status);
-		WorkerNews news = (other || origin == ResponseAuthenticity.MISMATCHED) ? WorkerNews.NONE : news(h, whole);
+		WorkerStatus news = (other || origin == ResponseAuthenticity.MISMATCHED) ? WorkerStatus.NONE : news(h, whole);
 		return new ResponseHead(status, Names.relayed(h), origin, notRun, other, news);
 	}
 
@@ -43,8 +43,8 @@
 	 * that a field that it lacks is not meant
 	 * @return the news
 	 */
-	static WorkerNews news(HttpHeaders h, boolean tellsAll) {
-		return new WorkerNews(load(h.get(Names.LOAD)), limit(h.get(Names.LIMIT), tellsAll));
+	static WorkerStatus news(HttpHeaders h, boolean tellsAll) {
+		return new WorkerStatus(load(h.get(Names.LOAD)), limit(h.get(Names.LIMIT), tellsAll));
 	}
 
 	private static @Nullable WorkerRateLimit limit(@Nullable String v, boolean tellsAll) {
--- a/src/main/java/io/shallotspur/platform/EntryDecoder.java
+++ b/src/main/java/io/shallotspur/platform/EntryDecoder.java
@@ -13,9 +13,9 @@
 
 import io.shallotspur.cfg.Endpoint;
 import io.shallotspur.exc.InputException;
-import io.shallotspur.gateway.EngineFigures;
+import io.shallotspur.gateway.EngineStatistics;
 import io.shallotspur.gateway.EntryVm;
-import io.shallotspur.gateway.LengthModel;
+import io.shallotspur.gateway.OutputLengthModel;
 import io.shallotspur.gateway.WorkerInfo;
 import io.shallotspur.gateway.WorkerStage;
 import io.shallotspur.registry.RegistryChange;
@@ -129,26 +129,26 @@
 		return new StorePosition(era, item.path("revision").asLong());
 	}
 
-	private static EngineFigures figures(String key, JsonNode v) throws InputException {
+	private static EngineStatistics figures(String key, JsonNode v) throws InputException {
 		EntryFields f = new EntryFields(v, key);
-		return new EngineFigures(f.positive("samples"), f.amount("prompt_tokens"), f.amount("answer_tokens"),
+		return new EngineStatistics(f.positive("samples"), f.amount("prompt_tokens"), f.amount("answer_tokens"),
 				f.amount("reserved_tokens"), f.amount("prefill_token_ms"), f.number("added_token_ms"),
 				f.amount("answer_token_ms"),
-				new LengthModel(f.number("length_intercept"), f.number("length_slope"), f.amount("length_deviation")));
+				new OutputLengthModel(f.number("length_intercept"), f.number("length_slope"), f.amount("length_deviation")));
 	}
 
-	static String encode(EngineFigures f) {
+	static String encode(EngineStatistics f) {
 		return encode(JSON.createObjectNode()
 			.put("samples", f.samples())
 			.put("prompt_tokens", f.promptTokens())
-			.put("answer_tokens", f.answerTokens())
+			.put("answer_tokens", f.outputTokens())
 			.put("reserved_tokens", f.reservedTokens())
 			.put("prefill_token_ms", f.prefillTokenMs())
-			.put("added_token_ms", f.addedTokenMs())
-			.put("answer_token_ms", f.answerTokenMs())
-			.put("length_intercept", f.lengths().intercept())
-			.put("length_slope", f.lengths().slope())
-			.put("length_deviation", f.lengths().deviation()));
+			.put("added_token_ms", f.marginalTokenMs())
+			.put("answer_token_ms", f.outputTokenMs())
+			.put("length_intercept", f.lengthModel().intercept())
+			.put("length_slope", f.lengthModel().slope())
+			.put("length_deviation", f.lengthModel().deviation()));
 	}
 
 	static Optional<WorkerStage> stage(String s) {
--- a/src/main/java/io/shallotspur/platform/HttpWorkerPort.java
+++ b/src/main/java/io/shallotspur/platform/HttpWorkerPort.java
@@ -28,13 +28,13 @@
 import io.shallotspur.gateway.Exchange;
 import io.shallotspur.gateway.ExchangeFailure;
 import io.shallotspur.gateway.ExchangeListener;
-import io.shallotspur.gateway.HoldListener;
+import io.shallotspur.gateway.ReservationListener;
 import io.shallotspur.gateway.KvSource;
 import io.shallotspur.gateway.PrefillListener;
 import io.shallotspur.gateway.RelayRequest;
 import io.shallotspur.gateway.WorkerCall;
 import io.shallotspur.gateway.WorkerInfo;
-import io.shallotspur.gateway.WorkerNews;
+import io.shallotspur.gateway.WorkerStatus;
 import io.shallotspur.gateway.WorkerPort;
 import io.shallotspur.gateway.WorkerStage;
 
@@ -168,7 +168,7 @@
 	}
 
 	private static void tell(Prefilled p, PrefillListener listener) {
-		listener.onNews(p.news());
+		listener.onStatus(p.news());
 		String status = "status " + p.head().status();
 		if (!p.handle().isEmpty() && p.head().authenticity() != ResponseAuthenticity.MISMATCHED) {
 			listener.onReady(p.handle());
@@ -201,7 +201,7 @@
 	}
 
 	@Override
-	public void reserve(WorkerInfo worker, int tokens, long ttlMs, HoldListener listener) {
+	public void reserve(WorkerInfo worker, int tokens, long ttlMs, ReservationListener listener) {
 		ObjectNode body = EntryDecoder.JSON.createObjectNode().put("tokens", tokens).put("ttl_ms", ttlMs);
 		this.side.post(worker, Names.HOLD_PATH, body)
 			.responseSingle(
@@ -213,7 +213,7 @@
 	private static HoldAnswer holdAnswer(HttpClientResponse r, byte[] body) {
 		int status = r.status().code();
 		boolean other = status == AnswerDecoder.MISDIRECTED;
-		WorkerNews news = other ? WorkerNews.NONE : AnswerDecoder.news(r.responseHeaders(), false);
+		WorkerStatus news = other ? WorkerStatus.NONE : AnswerDecoder.news(r.responseHeaders(), false);
 		return new HoldAnswer(status, held(status, body), news);
 	}
 
@@ -228,16 +228,16 @@
 		}
 	}
 
-	private static void tell(HoldAnswer a, HoldListener listener) {
-		listener.onNews(a.news());
+	private static void tell(HoldAnswer a, ReservationListener listener) {
+		listener.onStatus(a.news());
 		if (a.hold().isPresent()) {
-			listener.onHeld(a.hold().get());
+			listener.onReserved(a.hold().get());
 		}
 		else if (a.status() == AnswerDecoder.MISDIRECTED) {
-			listener.onReplaced();
+			listener.onInstanceReplaced();
 		}
 		else {
-			listener.onFull();
+			listener.onNoCapacity();
 		}
 	}
 
@@ -295,14 +295,14 @@
 	/**
 	 * A worker's answer to a call for a reservation.
 	 */
-	private record HoldAnswer(int status, Optional<String> hold, WorkerNews news) {
+	private record HoldAnswer(int status, Optional<String> hold, WorkerStatus news) {
 
 	}
 
 	/**
 	 * A worker's answer to a prefill.
 	 */
-	private record Prefilled(ResponseHead head, String handle, WorkerNews news) {
+	private record Prefilled(ResponseHead head, String handle, WorkerStatus news) {
 
 	}
 
--- a/src/main/java/io/shallotspur/platform/RequestDecoder.java
+++ b/src/main/java/io/shallotspur/platform/RequestDecoder.java
@@ -8,7 +8,7 @@
 
 import io.shallotspur.contract.BearerKey;
 import io.shallotspur.exc.InputException;
-import io.shallotspur.gateway.PromptShape;
+import io.shallotspur.gateway.PromptInfo;
 import io.shallotspur.gateway.RelayRequest;
 
 /**
@@ -51,7 +51,7 @@
 		return (v != null) ? Math.max(0, (long) number(v, Names.TIME_LEFT)) : Long.MAX_VALUE;
 	}
 
-	private static @Nullable PromptShape prompt(HttpHeaders h) throws InputException {
+	private static @Nullable PromptInfo prompt(HttpHeaders h) throws InputException {
 		String counts = h.get(Names.TOKEN_COUNTS);
 		if (counts == null) {
 			return null;
@@ -61,7 +61,7 @@
 		int out = (c.length > 1) ? (int) number(c[1], Names.TOKEN_COUNTS) : 0;
 		String hint = h.get(Names.LENGTH_HINT);
 		int likely = (hint != null) ? Math.min(out, (int) number(hint, Names.LENGTH_HINT)) : out;
-		return new PromptShape(in, out, likely);
+		return new PromptInfo(in, out, likely);
 	}
 
 	private static double number(String v, String field) throws InputException {
--- a/src/main/java/io/shallotspur/platform/StoreRegistry.java
+++ b/src/main/java/io/shallotspur/platform/StoreRegistry.java
@@ -18,7 +18,7 @@
 import io.shallotspur.exc.InputException;
 import io.shallotspur.exc.StoreHistoryGoneException;
 import io.shallotspur.exc.StoreUnavailableException;
-import io.shallotspur.gateway.EngineFigures;
+import io.shallotspur.gateway.EngineStatistics;
 import io.shallotspur.gateway.EntryVm;
 import io.shallotspur.gateway.WorkerStage;
 import io.shallotspur.registry.Registry;
@@ -219,7 +219,7 @@
 	}
 
 	@Override
-	public Mono<Boolean> publishStats(String upstream, EngineFigures figures, StorePosition before) {
+	public Mono<Boolean> publishStats(String upstream, EngineStatistics figures, StorePosition before) {
 		if (!before.equals(StorePosition.NONE) && before.era() != this.client.era()) {
 			return Mono.just(false);
 		}
--- a/src/main/java/io/shallotspur/registry/ChangeApplier.java
+++ b/src/main/java/io/shallotspur/registry/ChangeApplier.java
@@ -126,11 +126,11 @@
 			}
 		}
 		dutySeen(holder, now);
-		this.gateway.roster().retainMarks(marked);
+		this.gateway.roster().retainStageChanges(marked);
 		boolean ownGone = !vms.contains(this.ownKey);
 		vms.add(this.ownKey);
 		lost(workers, graces, now);
-		this.gateway.roster().retain(workers, graces.workerUntil());
+		this.gateway.roster().retainEntries(workers, graces.workerUntil());
 		this.gateway.entryVms().retain(vms, graces.vmUntil());
 		Logger.info("[registry] listed point={} workers={} vms={}", news.position(), workers.size(), vms.size());
 		if (again && ownGone) {
@@ -143,7 +143,7 @@
 	private void lost(Set<String> listed, Graces graces, long now) {
 		if (now >= this.unsettledUntil) {
 			this.gateway.roster()
-				.ids()
+				.workerIds()
 				.stream()
 				.filter((id) -> !listed.contains(id))
 				.forEach((id) -> gone(id, graces, now));
@@ -173,7 +173,7 @@
 		}
 		else if (c instanceof RegistryChange.WorkerRemoved e) {
 			gone(e.id(), graces, now);
-			this.gateway.roster().vanished(e.id(), graces.workerUntil());
+			this.gateway.roster().entryRemoved(e.id(), graces.workerUntil());
 			Logger.info("[registry] worker={} gone grace-ms={} news-ms={} store-failed-ms={} point={}", e.id(),
 					graces.workerMs(now), graces.newsMs(), graces.failedMs(), known);
 		}
@@ -184,10 +184,10 @@
 			vmGone(e, known, graces, now);
 		}
 		else if (c instanceof RegistryChange.StageChangeAnnounced e) {
-			this.gateway.roster().marked(e.worker(), e.stage());
+			this.gateway.roster().stageChangeAnnounced(e.worker(), e.stage());
 		}
 		else if (c instanceof RegistryChange.StageChangeWithdrawn e) {
-			this.gateway.roster().unmarked(e.worker());
+			this.gateway.roster().stageChangeWithdrawn(e.worker());
 		}
 		else if (c instanceof RegistryChange.LeaderElected e) {
 			dutySeen(e, now);
@@ -204,24 +204,24 @@
 	}
 
 	private void seen(WorkerInfo told, StorePosition known, long now) {
-		boolean outdated = !told.leaving() && now < this.unsettledUntil && this.departures.hasDeparted(told, now);
-		WorkerInfo w = outdated ? told.asLeaving() : told;
-		this.gateway.roster().seen(w, now);
-		if (w.leaving()) {
+		boolean outdated = !told.draining() && now < this.unsettledUntil && this.departures.hasDeparted(told, now);
+		WorkerInfo w = outdated ? told.asDraining() : told;
+		this.gateway.roster().updateEntry(w, now);
+		if (w.draining()) {
 			left(w.id(), now);
 		}
 		else {
 			this.departures.remove(w.id());
 		}
 		Logger.info("[registry] worker={} upstream={} stage={} leaving={} outdated={} point={}", w.id(), w.upstream(),
-				w.stage(), w.leaving(), outdated, known);
+				w.stage(), w.draining(), outdated, known);
 	}
 
 	// Whatever stood there before, the entry names no worker to use now. Each listing
 	// brings it again; one line for each cause is enough.
 	private void unreadable(RegistryChange.EntryUnreadable e, StorePosition known, long now) {
 		if (e.worker() != null) {
-			this.gateway.roster().vanished(e.worker(), now);
+			this.gateway.roster().entryRemoved(e.worker(), now);
 		}
 		if (this.causes.size() >= MOST_CAUSES) {
 			this.causes.clear();
--- a/src/main/java/io/shallotspur/registry/Registry.java
+++ b/src/main/java/io/shallotspur/registry/Registry.java
@@ -5,7 +5,7 @@
 
 import reactor.core.publisher.Mono;
 
-import io.shallotspur.gateway.EngineFigures;
+import io.shallotspur.gateway.EngineStatistics;
 import io.shallotspur.gateway.EntryVm;
 import io.shallotspur.gateway.WorkerStage;
 import io.shallotspur.route.RouteTable;
@@ -107,7 +107,7 @@
 	 * another one; {@link StorePosition#NONE} if nothing was
 	 * @return whether it was written
 	 */
-	Mono<Boolean> publishStats(String upstream, EngineFigures figures, StorePosition before);
+	Mono<Boolean> publishStats(String upstream, EngineStatistics figures, StorePosition before);
 
 	/**
 	 * Tells all VMs, and those that start later, that what was lost with the return of
--- a/src/main/java/io/shallotspur/registry/RegistryChange.java
+++ b/src/main/java/io/shallotspur/registry/RegistryChange.java
@@ -2,7 +2,7 @@
 
 import org.jspecify.annotations.Nullable;
 
-import io.shallotspur.gateway.EngineFigures;
+import io.shallotspur.gateway.EngineStatistics;
 import io.shallotspur.gateway.EntryVm;
 import io.shallotspur.gateway.WorkerInfo;
 import io.shallotspur.gateway.WorkerStage;
@@ -87,7 +87,7 @@
 	 * @param stats what all have seen
 	 * @param position the state of the store in which it was told
 	 */
-	record EngineStatsUpdated(String upstream, EngineFigures stats, StorePosition position) implements RegistryChange {
+	record EngineStatsUpdated(String upstream, EngineStatistics stats, StorePosition position) implements RegistryChange {
 
 	}
 
--- a/src/main/java/io/shallotspur/registry/RegistryWatcher.java
+++ b/src/main/java/io/shallotspur/registry/RegistryWatcher.java
@@ -249,7 +249,7 @@
 		long now = this.clock.getAsLong();
 		Logger.warn("[registry] store restored era={} known={}", era, this.point);
 		this.absence.recordRestore(this.storeUnavailable, now);
-		this.gateway.roster().waitForVanished(now, this.absence.lapseGraceEndsAt());
+		this.gateway.roster().extendGracePeriods(now, this.absence.lapseGraceEndsAt());
 		double spread = SPREAD_MS_A_VM * this.gateway.entryVms().count(now);
 		this.applier.restored(now);
 		this.onRestored.forEach((r) -> r.accept((long) (spread * this.random.getAsDouble())));
@@ -378,7 +378,7 @@
 		this.storeUnavailable = true;
 		long now = this.clock.getAsLong();
 		this.absence.recordFailure(askedAt, now);
-		this.gateway.roster().waitForVanished(now, this.absence.lapseGraceEndsAt());
+		this.gateway.roster().extendGracePeriods(now, this.absence.lapseGraceEndsAt());
 		long pause = (long) (this.retryMs * (0.5 + 0.5 * this.random.getAsDouble()));
 		long most = this.gateway.entryVms().isStandby(now) ? MAX_STANDBY_RETRY_MS : MAX_RETRY_MS;
 		this.retryMs = Math.min(most, this.retryMs * 2);
--- a/src/main/java/io/shallotspur/registry/SharedEngineStats.java
+++ b/src/main/java/io/shallotspur/registry/SharedEngineStats.java
@@ -10,8 +10,8 @@
 import org.jspecify.annotations.Nullable;
 import org.tinylog.Logger;
 
-import io.shallotspur.gateway.EngineFigures;
-import io.shallotspur.gateway.EngineTimes;
+import io.shallotspur.gateway.EngineStatistics;
+import io.shallotspur.gateway.EngineTimeEstimator;
 import io.shallotspur.gateway.Gateway;
 import io.shallotspur.gateway.GatewayTimer;
 import io.shallotspur.route.UpstreamSpec;
@@ -97,7 +97,7 @@
 		RegistryChange.EngineStatsUpdated old = this.known.get(news.upstream());
 		if (old == null || news.position().compareTo(old.position()) > 0) {
 			this.known.put(news.upstream(), news);
-			this.gateway.engineTimes(news.upstream()).heard(news.stats());
+			this.gateway.engineTimes(news.upstream()).setSharedStatistics(news.stats());
 		}
 	}
 
@@ -126,20 +126,20 @@
 
 	private void look(String upstream) {
 		RegistryChange.EngineStatsUpdated k = this.known.get(upstream);
-		EngineFigures all = (k != null) ? k.stats() : null;
-		EngineTimes times = this.gateway.engineTimes(upstream);
-		Optional<EngineFigures> part = times.unshared().filter((p) -> shouldPublish(all, p));
+		EngineStatistics all = (k != null) ? k.stats() : null;
+		EngineTimeEstimator times = this.gateway.engineTimes(upstream);
+		Optional<EngineStatistics> part = times.unsharedStatistics().filter((p) -> shouldPublish(all, p));
 		if (part.isPresent() && this.waiting.add(upstream)) {
 			tell(upstream, times, k, part.get());
 		}
 	}
 
-	private void tell(String upstream, EngineTimes times, RegistryChange.@Nullable EngineStatsUpdated k, EngineFigures part) {
-		EngineFigures old = (k != null) ? k.stats().atMost(MOST_SAMPLES) : null;
-		EngineFigures sum = EngineFigures.join(old, part);
+	private void tell(String upstream, EngineTimeEstimator times, RegistryChange.@Nullable EngineStatsUpdated k, EngineStatistics part) {
+		EngineStatistics old = (k != null) ? k.stats().limitSamples(MOST_SAMPLES) : null;
+		EngineStatistics sum = EngineStatistics.merge(old, part);
 		this.registry.publishStats(upstream, sum, (k != null) ? k.position() : StorePosition.NONE).subscribe((done) -> {
 			if (done) {
-				times.told(part);
+				times.markShared(part);
 				this.waiting.remove(upstream);
 			}
 			else {
@@ -156,15 +156,15 @@
 		this.timer.schedule(RETRY_MS, () -> this.waiting.remove(upstream));
 	}
 
-	static boolean shouldPublish(@Nullable EngineFigures all, EngineFigures part) {
+	static boolean shouldPublish(@Nullable EngineStatistics all, EngineStatistics part) {
 		int n = (all != null) ? Math.min(MOST_SAMPLES, all.samples()) : 0;
 		if (part.samples() < Math.max(LEAST_PART, n / PART)) {
 			return false;
 		}
 		return all == null || n < MOST_SAMPLES || differ(all.promptTokens(), part.promptTokens())
-				|| differ(all.answerTokens(), part.answerTokens())
+				|| differ(all.outputTokens(), part.outputTokens())
 				|| differ(all.prefillTokenMs(), part.prefillTokenMs())
-				|| differ(all.answerTokenMs(), part.answerTokenMs());
+				|| differ(all.outputTokenMs(), part.outputTokenMs());
 	}
 
 	private static boolean differ(double one, double other) {
--- a/src/main/java/io/shallotspur/stage/StageKeeper.java
+++ b/src/main/java/io/shallotspur/stage/StageKeeper.java
@@ -128,7 +128,7 @@
 	private void look(String upstream, EngineSpec engine, long now) {
 		List<WorkerInfo> prefill = new ArrayList<>();
 		List<WorkerInfo> decode = new ArrayList<>();
-		for (WorkerInfo w : this.gateway.roster().staying(upstream, now)) {
+		for (WorkerInfo w : this.gateway.roster().activeWorkers(upstream, now)) {
 			// Announced or not, one that is about to change over counts as changed.
 			StageSwitch under = this.running.get(w.id());
 			WorkerStage stage = (under != null) ? under.stage() : w.stage();
@@ -143,7 +143,7 @@
 		s.counted(prefill.size() + decode.size(), now);
 		if (this.duty.mayAct(now) && s.lasting(now) && !prefill.isEmpty() && !decode.isEmpty()) {
 			this.gateway.engineTimes(upstream)
-				.known()
+				.statistics()
 				.filter((f) -> f.samples() >= LEAST_SAMPLES)
 				.map((f) -> new Seen(f.samples(), StageLoad.of(f, engine)))
 				.ifPresent((x) -> share(s, x, prefill, decode, now));
--- a/src/main/java/io/shallotspur/stage/StageLoad.java
+++ b/src/main/java/io/shallotspur/stage/StageLoad.java
@@ -1,6 +1,6 @@
 package io.shallotspur.stage;
 
-import io.shallotspur.gateway.EngineFigures;
+import io.shallotspur.gateway.EngineStatistics;
 import io.shallotspur.route.EngineSpec;
 
 /**
@@ -24,10 +24,10 @@
 	 * @param engine the engines
 	 * @return the load
 	 */
-	static StageLoad of(EngineFigures seen, EngineSpec engine) {
+	static StageLoad of(EngineStatistics seen, EngineSpec engine) {
 		double prefill = Math.max(1, seen.prefillMs());
 		// A place is occupied from its reservation on, which comes before the prefill.
-		double decode = prefill + Math.max(1, seen.answerMs());
+		double decode = prefill + Math.max(1, seen.generationMs());
 		return new StageLoad(prefill, decode, places(engine, seen.reservedTokens()));
 	}
 
@@ -48,7 +48,7 @@
 		if (decode * each <= apart) {
 			return decode * each;
 		}
-		double lost = EngineFigures.DECODE_SLOWNESS * this.prefillMs / MS_PER_S;
+		double lost = EngineStatistics.DECODE_PREFILL_SLOWDOWN * this.prefillMs / MS_PER_S;
 		return each * (decode + lost * apart) / (1 + each * lost);
 	}
 
--- a/src/test/java/io/shallotspur/gateway/FakeWorkers.java
+++ b/src/test/java/io/shallotspur/gateway/FakeWorkers.java
@@ -38,7 +38,7 @@
 	}
 
 	@Override
-	public void reserve(WorkerInfo worker, int tokens, long ttlMs, HoldListener listener) {
+	public void reserve(WorkerInfo worker, int tokens, long ttlMs, ReservationListener listener) {
 		this.reservations.add(new Reservation(worker, tokens, listener));
 	}
 
@@ -71,22 +71,22 @@
 		}
 
 		void respondHead(int status) {
-			this.listener.onHead(new ResponseHead(status, List.of(), ResponseAuthenticity.SIGNED, false, false, WorkerNews.NONE));
+			this.listener.onHead(new ResponseHead(status, List.of(), ResponseAuthenticity.SIGNED, false, false, WorkerStatus.NONE));
 		}
 
 		void respondWithLimit(WorkerRateLimit limit) {
 			this.listener
-				.onHead(new ResponseHead(200, List.of(), ResponseAuthenticity.SIGNED, false, false, new WorkerNews(null, limit)));
+				.onHead(new ResponseHead(200, List.of(), ResponseAuthenticity.SIGNED, false, false, new WorkerStatus(null, limit)));
 			this.listener.onBytes("fine".getBytes());
 			this.listener.onEnd();
 		}
 
 		void rejectNotRun() {
-			this.listener.onHead(new ResponseHead(503, List.of(), ResponseAuthenticity.UNSIGNED, true, false, WorkerNews.NONE));
+			this.listener.onHead(new ResponseHead(503, List.of(), ResponseAuthenticity.UNSIGNED, true, false, WorkerStatus.NONE));
 		}
 
 		void rejectReplaced() {
-			this.listener.onHead(new ResponseHead(421, List.of(), ResponseAuthenticity.UNSIGNED, true, true, WorkerNews.NONE));
+			this.listener.onHead(new ResponseHead(421, List.of(), ResponseAuthenticity.UNSIGNED, true, true, WorkerStatus.NONE));
 		}
 
 		void resetConnection() {
@@ -118,7 +118,7 @@
 
 	}
 
-	record Reservation(WorkerInfo worker, int tokens, HoldListener listener) {
+	record Reservation(WorkerInfo worker, int tokens, ReservationListener listener) {
 
 	}
 
--- a/src/test/java/io/shallotspur/gateway/GatewayFixture.java
+++ b/src/test/java/io/shallotspur/gateway/GatewayFixture.java
@@ -88,19 +88,19 @@
 
 	WorkerInfo addWorker(String id, String upstream, WorkerStage stage) {
 		WorkerInfo w = new WorkerInfo(id, upstream, "10.0.0." + (++this.nextId), 80, "hall-a", 6, stage, false, 0, 1);
-		this.gateway.roster().seen(w, this.timer.now());
+		this.gateway.roster().updateEntry(w, this.timer.now());
 		return w;
 	}
 
 	void restart(WorkerInfo w) {
 		this.gateway.roster()
-			.seen(new WorkerInfo(w.id(), w.upstream(), w.host(), w.port(), w.hall(), w.slots(), w.stage(), false, 0,
+			.updateEntry(new WorkerInfo(w.id(), w.upstream(), w.host(), w.port(), w.hall(), w.slots(), w.stage(), false, 0,
 					w.startedAt() + 1), this.timer.now());
 	}
 
 	void drain(WorkerInfo w) {
 		this.gateway.roster()
-			.seen(new WorkerInfo(w.id(), w.upstream(), w.host(), w.port(), w.hall(), w.slots(), w.stage(), true, 0,
+			.updateEntry(new WorkerInfo(w.id(), w.upstream(), w.host(), w.port(), w.hall(), w.slots(), w.stage(), true, 0,
 					w.startedAt()), this.timer.now());
 	}
 
@@ -109,14 +109,14 @@
 	}
 
 	Call callWithPrompt(String route, int tokens) {
-		return call(route, 14_000, new PromptShape(tokens, 1_190, 400));
+		return call(route, 14_000, new PromptInfo(tokens, 1_190, 400));
 	}
 
 	Call callResuming(String route, int tokens, String lastEventId) {
-		return call(route, 14_000, new PromptShape(tokens, 1_190, 400), lastEventId);
+		return call(route, 14_000, new PromptInfo(tokens, 1_190, 400), lastEventId);
 	}
 
-	Call call(String route, long waitMs, @Nullable PromptShape prompt) {
+	Call call(String route, long waitMs, @Nullable PromptInfo prompt) {
 		return call(route, waitMs, prompt, null);
 	}
 
@@ -129,14 +129,14 @@
 	}
 
 	Call callWithKeyAndPrompt(String route, String key, int tokens) {
-		return call(route, 14_000, new PromptShape(tokens, 1_000, 400), null, BearerKey.hash(key));
+		return call(route, 14_000, new PromptInfo(tokens, 1_000, 400), null, BearerKey.hash(key));
 	}
 
-	private Call call(String route, long waitMs, @Nullable PromptShape prompt, @Nullable String lastEventId) {
+	private Call call(String route, long waitMs, @Nullable PromptInfo prompt, @Nullable String lastEventId) {
 		return call(route, waitMs, prompt, lastEventId, null);
 	}
 
-	private Call call(String route, long waitMs, @Nullable PromptShape prompt, @Nullable String lastEventId,
+	private Call call(String route, long waitMs, @Nullable PromptInfo prompt, @Nullable String lastEventId,
 			@Nullable String keyHash) {
 		RelayRequest r = new RelayRequest("r" + (++this.nextId), "POST", "/" + route + "/x", "shop.example", List.of(),
 				new byte[0], waitMs, prompt, lastEventId, keyHash);
--- a/src/test/java/io/shallotspur/gateway/NopWorkers.java
+++ b/src/test/java/io/shallotspur/gateway/NopWorkers.java
@@ -22,7 +22,7 @@
 	}
 
 	@Override
-	public void reserve(WorkerInfo worker, int tokens, long ttlMs, HoldListener listener) {
+	public void reserve(WorkerInfo worker, int tokens, long ttlMs, ReservationListener listener) {
 	}
 
 	@Override
--- a/src/test/java/io/shallotspur/gateway/PrefillTests.java
+++ b/src/test/java/io/shallotspur/gateway/PrefillTests.java
@@ -21,31 +21,31 @@
 
 	private static final int SHORT_PROMPT = 1_000;
 
-	private final GatewayFixture f = new GatewayFixture().configured();
+	private final GatewayFixture fixture = new GatewayFixture().configured();
 
 	@BeforeEach
-	void engines() {
-		this.f.addWorker("d1", "llm", WorkerStage.DECODE);
-		this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
+	void addWorkers() {
+		this.fixture.addWorker("d1", "llm", WorkerStage.DECODE);
+		this.fixture.addWorker("f1", "llm", WorkerStage.PREFILL);
 	}
 
 	// And an answer runs at the decode worker.
-	private void paceIsKnown() {
-		prompt("once", 100);
-		this.f.gateway.engineTimes("llm")
-			.heard(new EngineFigures(20, 3_000, 500, 3_800, 0.03, 0.03, 1, LengthModel.BELIEVED));
+	private void setSharedStatistics() {
+		sendPrompt("once", 100);
+		this.fixture.gateway.engineTimes("llm")
+			.setSharedStatistics(new EngineStatistics(20, 3_000, 500, 3_800, 0.03, 0.03, 1, OutputLengthModel.PRIOR));
 	}
 
-	private void prefillsAreSlow() {
+	private void recordSlowPrefills() {
 		for (int i = 0; i < 8; i++) {
-			this.f.gateway.engineTimes("llm").prefillTimedOut(400);
+			this.fixture.gateway.engineTimes("llm").recordPrefillTimeout(400);
 		}
 	}
 
-	private Call prompt(String route, int tokens) {
-		int n = this.f.workers.reservations.size();
-		Call c = this.f.callWithPrompt(route, tokens);
-		this.f.workers.reservations.get(n).listener().onHeld("h" + n);
+	private Call sendPrompt(String route, int tokens) {
+		int n = this.fixture.workers.reservations.size();
+		Call c = this.fixture.callWithPrompt(route, tokens);
+		this.fixture.workers.reservations.get(n).listener().onReserved("h" + n);
 		return c;
 	}
 
@@ -53,116 +53,116 @@
 	// The decode worker would be the shorter way for the next one, and the answer there
 	// would stand still for as long as it is read.
 	@Test
-	void aLongPromptWaitsForAPrefillWorker() {
-		paceIsKnown();
+	void queuesLongPromptAtPrefillWorker() {
+		setSharedStatistics();
 		for (int i = 0; i < 6; i++) {
-			prompt("once", LONG_PROMPT);
+			sendPrompt("once", LONG_PROMPT);
 		}
-		Assertions.assertThat(this.f.workers.prefills).hasSize(6);
+		Assertions.assertThat(this.fixture.workers.prefills).hasSize(6);
 	}
 
 	@Test
-	void aShortPromptTakesTheShorterWay() {
-		paceIsKnown();
+	void sendsShortPromptToShorterQueue() {
+		setSharedStatistics();
 		for (int i = 0; i < 6; i++) {
-			prompt("once", SHORT_PROMPT);
+			sendPrompt("once", SHORT_PROMPT);
 		}
-		Assertions.assertThat(this.f.workers.prefills).hasSizeBetween(1, 5);
+		Assertions.assertThat(this.fixture.workers.prefills).hasSizeBetween(1, 5);
 	}
 
 	// All VMs were killed and have started again. None of them knows what runs at a
 	// decode worker; taken for idle, each would get the prompts of the returning callers,
 	// and all answers there would stand still.
 	@Test
-	void aLongPromptWaitsAlsoWhenNothingIsKnownOfTheDecodeWorker() {
-		paceIsKnown();
-		this.f.addWorker("d2", "llm", WorkerStage.DECODE);
+	void queuesLongPromptWhenDecodeWorkerLoadIsUnknown() {
+		setSharedStatistics();
+		this.fixture.addWorker("d2", "llm", WorkerStage.DECODE);
 		for (int i = 0; i < 4; i++) {
-			prompt("once", LONG_PROMPT);
+			sendPrompt("once", LONG_PROMPT);
 		}
-		Assertions.assertThat(this.f.workers.prefills).hasSize(4);
+		Assertions.assertThat(this.fixture.workers.prefills).hasSize(4);
 	}
 
 	// An entry VM has died, and its callers come back to go on with their answers. Read
 	// at the decode workers, their prompts would make all answers there pause; the first
 	// prefill of the new request is free.
 	@Test
-	void prefillsApartForACallerWhoComesBackToGoOn() {
-		paceIsKnown();
-		int n = this.f.workers.reservations.size();
-		this.f.callResuming("resume", LONG_PROMPT, "7");
-		this.f.workers.reservations.get(n).listener().onHeld("h");
-		Assertions.assertThat(this.f.workers.prefills).hasSize(1);
-		Assertions.assertThat(this.f.workers.prefills.get(0).call.lastEventId()).isEqualTo("7");
-		this.f.workers.prefills.get(0).listener.onReady("kv");
-		Assertions.assertThat(this.f.workers.lastRun().call.lastEventId()).isEqualTo("7");
-		Assertions.assertThat(this.f.workers.lastRun().call.kvSource().handle()).isEqualTo("kv");
+	void usesPrefillWorkerForResumedRequest() {
+		setSharedStatistics();
+		int n = this.fixture.workers.reservations.size();
+		this.fixture.callResuming("resume", LONG_PROMPT, "7");
+		this.fixture.workers.reservations.get(n).listener().onReserved("h");
+		Assertions.assertThat(this.fixture.workers.prefills).hasSize(1);
+		Assertions.assertThat(this.fixture.workers.prefills.get(0).call.lastEventId()).isEqualTo("7");
+		this.fixture.workers.prefills.get(0).listener.onReady("kv");
+		Assertions.assertThat(this.fixture.workers.lastRun().call.lastEventId()).isEqualTo("7");
+		Assertions.assertThat(this.fixture.workers.lastRun().call.kvSource().handle()).isEqualTo("kv");
 	}
 
 	// The prompt was read and the answer that names its KV cache was lost. The route
 	// allows two attempts: one is spent on another prefill, and running answers are
 	// spared.
 	@Test
-	void prefillsAgainWhereAnswersWouldPause() {
-		paceIsKnown();
-		this.f.addWorker("f2", "llm", WorkerStage.PREFILL);
-		prompt("resume", LONG_PROMPT);
-		FakeWorkers.Prefill first = this.f.workers.prefills.get(0);
+	void retriesPrefillWhenDecodeWorkerWouldStall() {
+		setSharedStatistics();
+		this.fixture.addWorker("f2", "llm", WorkerStage.PREFILL);
+		sendPrompt("resume", LONG_PROMPT);
+		FakeWorkers.Prefill first = this.fixture.workers.prefills.get(0);
 		first.listener.onFailure(new ExchangeFailure(true, "reset"));
-		Assertions.assertThat(this.f.workers.prefills).hasSize(2);
-		FakeWorkers.Prefill second = this.f.workers.prefills.get(1);
+		Assertions.assertThat(this.fixture.workers.prefills).hasSize(2);
+		FakeWorkers.Prefill second = this.fixture.workers.prefills.get(1);
 		Assertions.assertThat(second.call.worker().id()).isNotEqualTo(first.call.worker().id());
 		second.listener.onReady("kv");
-		Assertions.assertThat(this.f.workers.lastRun().call.kvSource().handle()).isEqualTo("kv");
+		Assertions.assertThat(this.fixture.workers.lastRun().call.kvSource().handle()).isEqualTo("kv");
 	}
 
 	// The same where the route allows one attempt: only the first prefill is free.
 	@Test
-	void doesNotSpendTheOnlyAttemptOnAPrefill() {
-		paceIsKnown();
-		this.f.addWorker("f2", "llm", WorkerStage.PREFILL);
-		prompt("once", LONG_PROMPT);
-		this.f.workers.prefills.get(0).listener.onFailure(new ExchangeFailure(true, "reset"));
-		Assertions.assertThat(this.f.workers.prefills).hasSize(1);
-		Assertions.assertThat(this.f.workers.lastRun().call.kvSource()).isNull();
+	void doesNotSpendOnlyAttemptOnPrefillRetry() {
+		setSharedStatistics();
+		this.fixture.addWorker("f2", "llm", WorkerStage.PREFILL);
+		sendPrompt("once", LONG_PROMPT);
+		this.fixture.workers.prefills.get(0).listener.onFailure(new ExchangeFailure(true, "reset"));
+		Assertions.assertThat(this.fixture.workers.prefills).hasSize(1);
+		Assertions.assertThat(this.fixture.workers.lastRun().call.kvSource()).isNull();
 	}
 
 	// A burst fills the queue of the prefill worker. A prefill that is given up just
 	// before its turn is done again at the decode worker, so the time it is given follows
 	// what prefills take.
 	@Test
-	void waitsForAPrefillAsLongAsTheyTakeLately() {
-		paceIsKnown();
-		eightPrefillsTake(500);
-		prompt("once", LONG_PROMPT);
-		this.f.timer.advance(700);
-		Assertions.assertThat(this.f.workers.prefills.get(8).cancelled).isFalse();
-		this.f.timer.advance(500);
-		Assertions.assertThat(this.f.workers.prefills.get(8).cancelled).isTrue();
+	void derivesTimeoutFromRecentPrefills() {
+		setSharedStatistics();
+		completeEightPrefills(500);
+		sendPrompt("once", LONG_PROMPT);
+		this.fixture.timer.advance(700);
+		Assertions.assertThat(this.fixture.workers.prefills.get(8).cancelled).isFalse();
+		this.fixture.timer.advance(500);
+		Assertions.assertThat(this.fixture.workers.prefills.get(8).cancelled).isTrue();
 	}
 
 	// A prefill worker has gone dark, and prefills took little before. Its prompts are
 	// read elsewhere in time.
 	@Test
-	void givesAPrefillUpSoonWherePrefillsAreQuick() {
-		paceIsKnown();
-		eightPrefillsTake(90);
-		prompt("once", LONG_PROMPT);
-		this.f.timer.advance(450);
-		Assertions.assertThat(this.f.workers.prefills.get(8).cancelled).isTrue();
+	void timesOutEarlyWhenPrefillsAreFast() {
+		setSharedStatistics();
+		completeEightPrefills(90);
+		sendPrompt("once", LONG_PROMPT);
+		this.fixture.timer.advance(450);
+		Assertions.assertThat(this.fixture.workers.prefills.get(8).cancelled).isTrue();
 	}
 
 	@Test
-	void usesThePlaceWhileItsReservationLasts() {
-		slowPrefillsAreUnderWay();
-		this.f.workers.prefills.get(12).listener.onFailure(new ExchangeFailure(true, "reset"));
-		Assertions.assertThat(this.f.workers.prefills).hasSize(14);
-		this.f.timer.advance(1_000);
-		int holds = this.f.workers.reservations.size();
-		int runs = this.f.workers.runs.size();
-		this.f.workers.prefills.get(13).listener.onReady("kv");
-		Assertions.assertThat(this.f.workers.runs).hasSize(runs + 1);
-		Assertions.assertThat(this.f.workers.reservations).hasSize(holds);
+	void usesReservationUntilItExpires() {
+		startSlowPrefills();
+		this.fixture.workers.prefills.get(12).listener.onFailure(new ExchangeFailure(true, "reset"));
+		Assertions.assertThat(this.fixture.workers.prefills).hasSize(14);
+		this.fixture.timer.advance(1_000);
+		int holds = this.fixture.workers.reservations.size();
+		int runs = this.fixture.workers.runs.size();
+		this.fixture.workers.prefills.get(13).listener.onReady("kv");
+		Assertions.assertThat(this.fixture.workers.runs).hasSize(runs + 1);
+		Assertions.assertThat(this.fixture.workers.reservations).hasSize(holds);
 	}
 
 	// Prefill workers are slow, and a reservation ends while the prompt is read. Sent
@@ -170,65 +170,65 @@
 	// of them would be dropped. Another place is reserved, and what was read is used
 	// there.
 	@Test
-	void usesWhatWasReadAtAnotherPlace() {
-		slowPrefillsAreUnderWay();
-		this.f.timer.advance(1_150);
-		this.f.workers.prefills.get(12).listener.onFailure(new ExchangeFailure(true, "reset"));
-		FakeWorkers.Prefill second = this.f.workers.prefills.get(this.f.workers.prefills.size() - 1);
-		this.f.timer.advance(850);
-		int holds = this.f.workers.reservations.size();
+	void reusesKvCacheWithNewReservation() {
+		startSlowPrefills();
+		this.fixture.timer.advance(1_150);
+		this.fixture.workers.prefills.get(12).listener.onFailure(new ExchangeFailure(true, "reset"));
+		FakeWorkers.Prefill second = this.fixture.workers.prefills.get(this.fixture.workers.prefills.size() - 1);
+		this.fixture.timer.advance(850);
+		int holds = this.fixture.workers.reservations.size();
 		second.listener.onReady("kv");
-		Assertions.assertThat(this.f.workers.reservations).hasSize(holds + 1);
-		this.f.workers.reservations.get(holds).listener().onHeld("h-new");
-		Assertions.assertThat(this.f.workers.lastRun().call.reservation()).isEqualTo("h-new");
-		Assertions.assertThat(this.f.workers.lastRun().call.kvSource().handle()).isEqualTo("kv");
+		Assertions.assertThat(this.fixture.workers.reservations).hasSize(holds + 1);
+		this.fixture.workers.reservations.get(holds).listener().onReserved("h-new");
+		Assertions.assertThat(this.fixture.workers.lastRun().call.reservation()).isEqualTo("h-new");
+		Assertions.assertThat(this.fixture.workers.lastRun().call.kvSource().handle()).isEqualTo("kv");
 	}
 
-	private void eightPrefillsTake(long ms) {
+	private void completeEightPrefills(long ms) {
 		for (int i = 0; i < 8; i++) {
-			prompt("once", LONG_PROMPT);
-			this.f.timer.advance(ms);
-			this.f.workers.prefills.get(i).listener.onReady("kv" + i);
+			sendPrompt("once", LONG_PROMPT);
+			this.fixture.timer.advance(ms);
+			this.fixture.workers.prefills.get(i).listener.onReady("kv" + i);
 		}
 	}
 
 	// The last one, with index 12, is of a caller who may resume.
-	private void slowPrefillsAreUnderWay() {
-		paceIsKnown();
-		prefillsAreSlow();
-		this.f.addWorker("f2", "llm", WorkerStage.PREFILL);
+	private void startSlowPrefills() {
+		setSharedStatistics();
+		recordSlowPrefills();
+		this.fixture.addWorker("f2", "llm", WorkerStage.PREFILL);
 		for (int i = 0; i < 12; i++) {
-			prompt("once", LONG_PROMPT);
+			sendPrompt("once", LONG_PROMPT);
 		}
-		prompt("resume", LONG_PROMPT);
+		sendPrompt("resume", LONG_PROMPT);
 	}
 
 	// Prefill workers of three halls are idle. One in the hall of the decode worker makes
 	// the KV cache's way half as long, and the links between halls have less to carry.
 	@Test
-	void prefersAPrefillWorkerInTheDecodeWorkersHall() {
+	void prefersPrefillWorkerInHallOfDecodeWorker() {
 		WorkerState near = worker("f1", "hall-b");
 		WorkerState far = worker("f2", "hall-c");
-		Assertions.assertThat(chosen(List.of(far, near))).isSameAs(near);
-		near.started();
-		Assertions.assertThat(chosen(List.of(far, near))).isSameAs(far);
+		Assertions.assertThat(select(List.of(far, near))).isSameAs(near);
+		near.requestStarted();
+		Assertions.assertThat(select(List.of(far, near))).isSameAs(far);
 	}
 
 	// The only prefill worker is in another hall. Its being far is no reason to have the
 	// prompt read at the decode worker, which holds up all answers there.
 	@Test
-	void aPrefillWorkerInAnotherHallIsBetterThanNone() {
+	void usesPrefillWorkerInOtherHallIfItIsTheOnlyOne() {
 		WorkerState far = worker("f2", "hall-c");
-		Assertions.assertThat(chosen(List.of(far))).isSameAs(far);
+		Assertions.assertThat(select(List.of(far))).isSameAs(far);
 	}
 
 	private static WorkerState worker(String id, String hall) {
 		return new WorkerState(new WorkerInfo(id, "llm", "10.0.0.1", 80, hall, 6, WorkerStage.PREFILL, false, 0, 0), 0);
 	}
 
-	private static @Nullable WorkerState chosen(List<WorkerState> prefill) {
-		return PrefillChoice
-			.choose(new PromptShape(SHORT_PROMPT, 100, 100), prefill, worker("d1", "hall-b"), false, "hall-a",
+	private static @Nullable WorkerState select(List<WorkerState> prefill) {
+		return PrefillSelector
+			.select(new PromptInfo(SHORT_PROMPT, 100, 100), prefill, worker("d1", "hall-b"), false, "hall-a",
 					() -> 0.5, 0)
 			.orElse(null);
 	}
--- a/src/test/java/io/shallotspur/gateway/RelayTests.java
+++ b/src/test/java/io/shallotspur/gateway/RelayTests.java
@@ -100,7 +100,7 @@
 	void neverPassesOnAnAnswerToAnotherRequest() {
 		Call c = this.f.call("unsafe");
 		this.f.workers.lastRun().listener
-			.onHead(new ResponseHead(200, List.of(), ResponseAuthenticity.MISMATCHED, false, false, WorkerNews.NONE));
+			.onHead(new ResponseHead(200, List.of(), ResponseAuthenticity.MISMATCHED, false, false, WorkerStatus.NONE));
 		Assertions.assertThat(c.caller().status).isEqualTo(502);
 		Assertions.assertThat(this.f.workers.lastRun().cancelled).isTrue();
 	}
@@ -109,7 +109,7 @@
 	void neverPassesOnAnUnsignedSuccess() {
 		Call c = this.f.call("unsafe");
 		this.f.workers.lastRun().listener
-			.onHead(new ResponseHead(200, List.of(), ResponseAuthenticity.UNSIGNED, false, false, WorkerNews.NONE));
+			.onHead(new ResponseHead(200, List.of(), ResponseAuthenticity.UNSIGNED, false, false, WorkerStatus.NONE));
 		Assertions.assertThat(c.caller().status).isEqualTo(502);
 	}
 
@@ -169,7 +169,7 @@
 	void leavesAWorkerThatIsLeavingAlone() {
 		for (String id : List.of("p1", "p2")) {
 			this.f.gateway.roster()
-				.seen(new WorkerInfo(id, "plain", "10.0.0.9", 80, "hall-a", 6, WorkerStage.PLAIN, true, 0, 0),
+				.updateEntry(new WorkerInfo(id, "plain", "10.0.0.9", 80, "hall-a", 6, WorkerStage.PLAIN, true, 0, 0),
 						this.f.timer.now());
 		}
 		this.f.call("safe");
--- a/src/test/java/io/shallotspur/gateway/StreamRelayTests.java
+++ b/src/test/java/io/shallotspur/gateway/StreamRelayTests.java
@@ -21,7 +21,7 @@
 
 	private Call running(String route) {
 		Call c = this.f.callWithPrompt(route, 100);
-		this.f.workers.reservations.get(this.f.workers.reservations.size() - 1).listener().onHeld("h");
+		this.f.workers.reservations.get(this.f.workers.reservations.size() - 1).listener().onReserved("h");
 		return c;
 	}
 
@@ -62,7 +62,7 @@
 		this.f.workers.lastRun().respondHead(200);
 		this.f.workers.lastRun().sendEvents(GatewayFixture.EVENTS + "id: 3\nda");
 		this.f.workers.lastRun().resetConnection();
-		this.f.workers.reservations.get(1).listener().onHeld("h2");
+		this.f.workers.reservations.get(1).listener().onReserved("h2");
 		FakeWorkers.Run r = this.f.workers.lastRun();
 		Assertions.assertThat(r.call.lastEventId()).isEqualTo("2");
 		r.respondHead(200);
@@ -83,10 +83,10 @@
 		this.f.workers.lastRun().sendEvents(GatewayFixture.EVENTS);
 		this.f.timer.advance(5_000);
 		this.f.workers.lastRun().resetConnection();
-		this.f.workers.reservations.get(1).listener().onFull();
+		this.f.workers.reservations.get(1).listener().onNoCapacity();
 		this.f.timer.advance(1_000);
 		Assertions.assertThat(c.caller().aborted).isFalse();
-		this.f.workers.reservations.get(2).listener().onHeld("h2");
+		this.f.workers.reservations.get(2).listener().onReserved("h2");
 		Assertions.assertThat(this.f.workers.lastRun().call.lastEventId()).isEqualTo("2");
 	}
 
@@ -105,7 +105,7 @@
 	void prefillsLongPromptsApart() {
 		this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
 		Call c = this.f.callWithPrompt("once", 3_000);
-		this.f.workers.reservations.get(0).listener().onHeld("h1");
+		this.f.workers.reservations.get(0).listener().onReserved("h1");
 		this.f.workers.prefills.get(0).listener.onReady("kv1");
 		WorkerCall call = this.f.workers.lastRun().call;
 		Assertions.assertThat(call.kvSource().handle()).isEqualTo("kv1");
@@ -122,7 +122,7 @@
 	void givesBackWhatACallerWhoLeftHeld() {
 		this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
 		Call c = this.f.callWithPrompt("once", 3_000);
-		this.f.workers.reservations.get(0).listener().onHeld("h1");
+		this.f.workers.reservations.get(0).listener().onReserved("h1");
 		c.disconnect().run();
 		this.f.workers.prefills.get(0).listener.onReady("kv1");
 		Assertions.assertThat(this.f.workers.prefills.get(0).cancelled).isTrue();
@@ -136,7 +136,7 @@
 	void givesBackAReservationThatComesTooLate() {
 		Call c = this.f.callWithPrompt("once", 3_000);
 		c.disconnect().run();
-		this.f.workers.reservations.get(0).listener().onHeld("h1");
+		this.f.workers.reservations.get(0).listener().onReserved("h1");
 		Assertions.assertThat(this.f.workers.cancelledReservations).containsExactly("h1");
 		Assertions.assertThat(this.f.workers.runs).isEmpty();
 	}
@@ -147,7 +147,7 @@
 	void prefillsAtTheDecodeWorkerWhenAPrefillDoesNotAnswer() {
 		this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
 		this.f.callWithPrompt("once", 3_000);
-		this.f.workers.reservations.get(0).listener().onHeld("h1");
+		this.f.workers.reservations.get(0).listener().onReserved("h1");
 		this.f.timer.advance(GatewayFixture.TARGET_MS * 6 / 10 + 1);
 		Assertions.assertThat(this.f.workers.lastRun().call.kvSource()).isNull();
 		Assertions.assertThat(this.f.workers.lastRun().call.reservation()).isEqualTo("h1");
@@ -158,7 +158,7 @@
 	void aRefusedPrefillUsesUpTheOnlyAttempt() {
 		this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
 		Call c = this.f.callWithPrompt("once", 3_000);
-		this.f.workers.reservations.get(0).listener().onHeld("h1");
+		this.f.workers.reservations.get(0).listener().onReserved("h1");
 		this.f.workers.prefills.get(0).listener.onRefused("status 503", false);
 		Assertions.assertThat(c.caller().status).isEqualTo(503);
 		Assertions.assertThat(this.f.workers.cancelledReservations).containsExactly("h1");
@@ -176,7 +176,7 @@
 		first.sendEvents(GatewayFixture.EVENTS);
 		this.f.restart(first.call.worker());
 		Assertions.assertThat(first.cancelled).isTrue();
-		this.f.workers.reservations.get(1).listener().onHeld("h2");
+		this.f.workers.reservations.get(1).listener().onReserved("h2");
 		Assertions.assertThat(this.f.workers.lastRun().call.lastEventId()).isEqualTo("2");
 		Assertions.assertThat(c.caller().aborted).isFalse();
 	}
@@ -197,7 +197,7 @@
 	void neverOffersAHandleFromBeforeARestart() {
 		WorkerInfo f1 = this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
 		this.f.callWithPrompt("once", 3_000);
-		this.f.workers.reservations.get(0).listener().onHeld("h");
+		this.f.workers.reservations.get(0).listener().onReserved("h");
 		this.f.restart(f1);
 		Assertions.assertThat(this.f.workers.prefills.get(0).cancelled).isTrue();
 		this.f.workers.prefills.get(0).listener.onReady("kv-old");
@@ -211,7 +211,7 @@
 	void reservesAgainWhenTheDecodeWorkerHasStartedAgain() {
 		this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
 		this.f.callWithPrompt("once", 3_000);
-		this.f.workers.reservations.get(0).listener().onHeld("h");
+		this.f.workers.reservations.get(0).listener().onReserved("h");
 		this.f.restart(this.f.workers.reservations.get(0).worker());
 		this.f.workers.prefills.get(0).listener.onReady("kv");
 		Assertions.assertThat(this.f.workers.runs).isEmpty();
@@ -225,7 +225,7 @@
 		this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
 		this.f.callWithPrompt("once", 3_000);
 		WorkerInfo first = this.f.workers.reservations.get(0).worker();
-		this.f.workers.reservations.get(0).listener().onHeld("h");
+		this.f.workers.reservations.get(0).listener().onReserved("h");
 		this.f.drain(first);
 		this.f.addWorker("d9", "llm", WorkerStage.DECODE);
 		this.f.workers.prefills.get(0).listener.onReady("kv");
@@ -240,8 +240,8 @@
 		this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
 		this.f.callWithPrompt("once", 3_000);
 		WorkerInfo first = this.f.workers.reservations.get(0).worker();
-		this.f.workers.reservations.get(0).listener().onHeld("h");
-		this.f.gateway.roster().vanished(first.id(), this.f.timer.now());
+		this.f.workers.reservations.get(0).listener().onReserved("h");
+		this.f.gateway.roster().entryRemoved(first.id(), this.f.timer.now());
 		this.f.addWorker("d9", "llm", WorkerStage.DECODE);
 		this.f.workers.prefills.get(0).listener.onReady("kv");
 		Assertions.assertThat(this.f.workers.runs).isEmpty();
@@ -256,7 +256,7 @@
 		this.f.callWithPrompt("once", 3_000);
 		this.f.drain(this.f.workers.reservations.get(0).worker());
 		this.f.addWorker("d9", "llm", WorkerStage.DECODE);
-		this.f.workers.reservations.get(0).listener().onHeld("h");
+		this.f.workers.reservations.get(0).listener().onReserved("h");
 		Assertions.assertThat(this.f.workers.prefills).isEmpty();
 		Assertions.assertThat(this.f.workers.reservations).hasSize(2);
 	}
--- a/src/test/java/io/shallotspur/gateway/WorkerRateLimitTests.java
+++ b/src/test/java/io/shallotspur/gateway/WorkerRateLimitTests.java
@@ -233,8 +233,8 @@
 		GatewayFixture f = new GatewayFixture().configured();
 		f.addWorker("d1", "llm", WorkerStage.DECODE);
 		f.callWithPrompt("once", 200);
-		f.workers.reservations.get(0).listener().onNews(new WorkerNews(null, limit(4)));
-		f.workers.reservations.get(0).listener().onHeld("h1");
+		f.workers.reservations.get(0).listener().onStatus(new WorkerStatus(null, limit(4)));
+		f.workers.reservations.get(0).listener().onReserved("h1");
 		Assertions.assertThat(f.workers.runs).hasSize(1);
 		for (int i = 0; i < 4; i++) {
 			f.callWithPrompt("once", 200);
@@ -250,11 +250,11 @@
 		GatewayFixture f = new GatewayFixture().configured();
 		f.addWorker("d1", "llm", WorkerStage.DECODE);
 		f.callWithPrompt("once", 200);
-		f.workers.reservations.get(0).listener().onNews(new WorkerNews(null, limit(4)));
-		f.workers.reservations.get(0).listener().onFull();
+		f.workers.reservations.get(0).listener().onStatus(new WorkerStatus(null, limit(4)));
+		f.workers.reservations.get(0).listener().onNoCapacity();
 		f.timer.advance(500);
 		Assertions.assertThat(f.workers.reservations).hasSize(2);
-		f.workers.reservations.get(1).listener().onFull();
+		f.workers.reservations.get(1).listener().onNoCapacity();
 		f.timer.advance(250);
 		Assertions.assertThat(f.workers.reservations).hasSize(3);
 	}
@@ -265,11 +265,11 @@
 		f.addWorker("d1", "llm", WorkerStage.DECODE);
 		f.addWorker("f1", "llm", WorkerStage.PREFILL);
 		f.callWithPrompt("once", 3_000);
-		f.workers.reservations.get(0).listener().onHeld("h1");
-		f.workers.prefills.get(0).listener.onNews(new WorkerNews(null, limit(0.5)));
+		f.workers.reservations.get(0).listener().onReserved("h1");
+		f.workers.prefills.get(0).listener.onStatus(new WorkerStatus(null, limit(0.5)));
 		f.workers.prefills.get(0).listener.onReady("k1");
 		f.callWithPrompt("once", 3_000);
-		f.workers.reservations.get(1).listener().onHeld("h2");
+		f.workers.reservations.get(1).listener().onReserved("h2");
 		Assertions.assertThat(f.workers.prefills).hasSize(1);
 		Assertions.assertThat(f.workers.runs).hasSize(2);
 	}
@@ -280,9 +280,9 @@
 	void lateRequestWithoutLimitsIsRefusedAsWorkersFull() {
 		GatewayFixture f = new GatewayFixture().configured();
 		f.addWorker("d1", "llm", WorkerStage.DECODE);
-		PromptShape p = new PromptShape(3_000, 1_190, 400);
+		PromptInfo p = new PromptInfo(3_000, 1_190, 400);
 		for (int i = 0; i < 20; i++) {
-			f.gateway.engineTimes("llm").streamed(12_000, p, 400);
+			f.gateway.engineTimes("llm").recordResponse(12_000, p, 400);
 		}
 		Call c = f.call("once", 8_000, p);
 		Assertions.assertThat(c.caller().refusal.reason()).isEqualTo(RefusalReason.WORKERS_FULL);
--- a/src/test/java/io/shallotspur/platform/StoreRegistryTests.java
+++ b/src/test/java/io/shallotspur/platform/StoreRegistryTests.java
@@ -9,9 +9,9 @@
 
 import io.shallotspur.exc.StoreHistoryGoneException;
 import io.shallotspur.exc.StoreUnavailableException;
-import io.shallotspur.gateway.EngineFigures;
+import io.shallotspur.gateway.EngineStatistics;
 import io.shallotspur.gateway.EntryVm;
-import io.shallotspur.gateway.LengthModel;
+import io.shallotspur.gateway.OutputLengthModel;
 import io.shallotspur.gateway.WorkerStage;
 import io.shallotspur.registry.RegistryChange;
 import io.shallotspur.registry.RegistryUpdate;
@@ -80,7 +80,7 @@
 	// the first has told.
 	@Test
 	void tellsFiguresOnTopOfThoseThatAreKnown() {
-		EngineFigures f = new EngineFigures(4, 3_000, 500, 3_800, 0.03, 0.03, 7, LengthModel.BELIEVED);
+		EngineStatistics f = new EngineStatistics(4, 3_000, 500, 3_800, 0.03, 0.03, 7, OutputLengthModel.PRIOR);
 		Assertions.assertThat(this.registry.publishStats("llm", f, StorePosition.NONE).block()).isTrue();
 		Assertions.assertThat(this.registry.publishStats("llm", f, StorePosition.NONE).block()).isFalse();
 		RegistryChange.EngineStatsUpdated seen = (RegistryChange.EngineStatsUpdated) this.registry.list().block().changes().get(0);
--- a/src/test/java/io/shallotspur/registry/FakeRegistry.java
+++ b/src/test/java/io/shallotspur/registry/FakeRegistry.java
@@ -14,7 +14,7 @@
 import reactor.core.publisher.Sinks;
 
 import io.shallotspur.exc.StoreUnavailableException;
-import io.shallotspur.gateway.EngineFigures;
+import io.shallotspur.gateway.EngineStatistics;
 import io.shallotspur.gateway.EntryVm;
 import io.shallotspur.gateway.WorkerStage;
 import io.shallotspur.route.RouteTable;
@@ -149,7 +149,7 @@
 	}
 
 	@Override
-	public Mono<Boolean> publishStats(String upstream, EngineFigures figures, StorePosition before) {
+	public Mono<Boolean> publishStats(String upstream, EngineStatistics figures, StorePosition before) {
 		if (this.storeDown) {
 			return unavailable();
 		}
--- a/src/test/java/io/shallotspur/registry/RegistryWatcherTests.java
+++ b/src/test/java/io/shallotspur/registry/RegistryWatcherTests.java
@@ -308,7 +308,7 @@
 	}
 
 	private List<String> staying() {
-		return this.gateway.roster().staying("up", this.timer.now()).stream().map(WorkerInfo::id).toList();
+		return this.gateway.roster().activeWorkers("up", this.timer.now()).stream().map(WorkerInfo::id).toList();
 	}
 
 	private void restore(long revision, RegistryChange... changes) {
--- a/src/test/java/io/shallotspur/registry/RevocationModelTests.java
+++ b/src/test/java/io/shallotspur/registry/RevocationModelTests.java
@@ -174,7 +174,7 @@
 			this.registry.setRestoreListener((e) -> reader.onStoreRestored(OLD_MS));
 			this.gateway.configure(table());
 			this.gateway.roster()
-				.seen(new WorkerInfo("w", "up", "10.0.0.1", 80, "hall-a", 6, WorkerStage.PLAIN, false, 0, 0),
+				.updateEntry(new WorkerInfo("w", "up", "10.0.0.1", 80, "hall-a", 6, WorkerStage.PLAIN, false, 0, 0),
 						this.timer.now());
 		}
 
--- a/src/test/java/io/shallotspur/registry/SharedEngineStatsTests.java
+++ b/src/test/java/io/shallotspur/registry/SharedEngineStatsTests.java
@@ -7,16 +7,16 @@
 import org.junit.jupiter.api.Test;
 
 import io.shallotspur.gateway.DecisionLog;
-import io.shallotspur.gateway.EngineFigures;
-import io.shallotspur.gateway.EngineTimes;
+import io.shallotspur.gateway.EngineStatistics;
+import io.shallotspur.gateway.EngineTimeEstimator;
 import io.shallotspur.gateway.Gateway;
 import io.shallotspur.gateway.GatewayPorts;
 import io.shallotspur.gateway.GatewaySettings;
-import io.shallotspur.gateway.LengthModel;
+import io.shallotspur.gateway.OutputLengthModel;
 import io.shallotspur.gateway.ManualTimer;
 import io.shallotspur.gateway.NopWorkers;
 import io.shallotspur.gateway.RelayMetrics;
-import io.shallotspur.gateway.TimesSeen;
+import io.shallotspur.gateway.EngineTimeSamples;
 import io.shallotspur.route.EngineSpec;
 import io.shallotspur.route.IngressLimits;
 import io.shallotspur.route.RouteTable;
@@ -27,8 +27,8 @@
  */
 class SharedEngineStatsTests {
 
-	private static final EngineFigures MANY = new EngineFigures(64, 3_000, 500, 3_800, 0.03, 0.03, 7,
-			LengthModel.BELIEVED);
+	private static final EngineStatistics MANY = new EngineStatistics(64, 3_000, 500, 3_800, 0.03, 0.03, 7,
+			OutputLengthModel.PRIOR);
 
 	private final ManualTimer timer = new ManualTimer();
 
@@ -49,29 +49,29 @@
 	// it would order and refuse as if there were none.
 	@Test
 	void aVmThatHasSeenNothingKnowsWhatTheOthersSaw() {
-		TimesSeen.requests(this.one.times(), 4, 3_000, 500, 90, 7);
+		EngineTimeSamples.recordRequests(this.one.times(), 4, 3_000, 500, 90, 7);
 		this.timer.advance(1_000);
 		hear();
-		EngineFigures f = this.other.times().known().orElseThrow();
+		EngineStatistics f = this.other.times().statistics().orElseThrow();
 		Assertions.assertThat(f.samples()).isEqualTo(4);
 		Assertions.assertThat(f.prefillMs()).isEqualTo(90);
-		Assertions.assertThat(f.answerMs()).isEqualTo(3_500);
+		Assertions.assertThat(f.generationMs()).isEqualTo(3_500);
 	}
 
 	// Both tell in the same moment. If the second overwrote the first, what that VM had
 	// seen would be lost to all.
 	@Test
 	void addsWhatBothHaveSeen() {
-		TimesSeen.requests(this.one.times(), 4, 2_000, 400, 60, 7);
-		TimesSeen.requests(this.other.times(), 4, 4_000, 600, 120, 7);
+		EngineTimeSamples.recordRequests(this.one.times(), 4, 2_000, 400, 60, 7);
+		EngineTimeSamples.recordRequests(this.other.times(), 4, 4_000, 600, 120, 7);
 		for (int i = 0; i < 8; i++) {
 			this.timer.advance(700);
 			hear();
 		}
-		EngineFigures f = this.one.times().known().orElseThrow();
+		EngineStatistics f = this.one.times().statistics().orElseThrow();
 		Assertions.assertThat(f.samples()).isEqualTo(8);
 		Assertions.assertThat(f.promptTokens()).isEqualTo(3_000);
-		Assertions.assertThat(f.answerTokens()).isEqualTo(500);
+		Assertions.assertThat(f.outputTokens()).isEqualTo(500);
 	}
 
 	// Hundreds of VMs tell and hear. If each told of each request, the calls would grow
@@ -80,11 +80,11 @@
 	void isSilentOnceTheLoadIsKnown() {
 		Assertions
 			.assertThat(SharedEngineStats.shouldPublish(MANY,
-					new EngineFigures(20, 3_200, 450, 3_900, 0.031, 0.031, 7.5, LengthModel.BELIEVED)))
+					new EngineStatistics(20, 3_200, 450, 3_900, 0.031, 0.031, 7.5, OutputLengthModel.PRIOR)))
 			.isFalse();
 		Assertions
 			.assertThat(SharedEngineStats.shouldPublish(MANY,
-					new EngineFigures(3, 9_000, 500, 9_800, 0.03, 0.03, 7, LengthModel.BELIEVED)))
+					new EngineStatistics(3, 9_000, 500, 9_800, 0.03, 0.03, 7, OutputLengthModel.PRIOR)))
 			.isFalse();
 	}
 
@@ -95,11 +95,11 @@
 		this.registry.stats.put("llm", new RegistryChange.EngineStatsUpdated("llm", MANY, new StorePosition(0, 50)));
 		hear();
 		for (int i = 0; i < 10; i++) {
-			TimesSeen.requests(this.one.times(), 20, 9_000, 500, 270, 7);
+			EngineTimeSamples.recordRequests(this.one.times(), 20, 9_000, 500, 270, 7);
 			this.timer.advance(700);
 			hear();
 		}
-		Assertions.assertThat(this.other.times().known().orElseThrow().promptTokens())
+		Assertions.assertThat(this.other.times().statistics().orElseThrow().promptTokens())
 			.isGreaterThanOrEqualTo(0.75 * 9_000);
 	}
 
@@ -107,7 +107,7 @@
 	// later.
 	@Test
 	void tellsAgainWhenTheStoreIsBack() {
-		TimesSeen.requests(this.one.times(), 4, 3_000, 500, 90, 7);
+		EngineTimeSamples.recordRequests(this.one.times(), 4, 3_000, 500, 90, 7);
 		this.registry.storeDown = true;
 		this.timer.advance(2_000);
 		Assertions.assertThat(this.registry.stats).isEmpty();
@@ -121,8 +121,8 @@
 	void isNotMisledByOlderNews() {
 		this.one.figures.onStats(new RegistryChange.EngineStatsUpdated("llm", MANY, new StorePosition(0, 50)));
 		this.one.figures.onStats(new RegistryChange.EngineStatsUpdated("llm",
-				new EngineFigures(1, 1, 1, 1, 1, 1, 1, LengthModel.BELIEVED), new StorePosition(0, 49)));
-		Assertions.assertThat(this.one.times().known()).contains(MANY);
+				new EngineStatistics(1, 1, 1, 1, 1, 1, 1, OutputLengthModel.PRIOR), new StorePosition(0, 49)));
+		Assertions.assertThat(this.one.times().statistics()).contains(MANY);
 	}
 
 	// Revisions go back with a store that comes back from a copy. What it has then would
@@ -131,9 +131,9 @@
 	void hearsWhatTheStoreHasAfterARestore() {
 		this.one.figures.onStats(new RegistryChange.EngineStatsUpdated("llm", MANY, new StorePosition(1, 50)));
 		this.one.figures.onStoreRestored();
-		EngineFigures few = new EngineFigures(3, 2_000, 500, 3_800, 0.03, 0.03, 7, LengthModel.BELIEVED);
+		EngineStatistics few = new EngineStatistics(3, 2_000, 500, 3_800, 0.03, 0.03, 7, OutputLengthModel.PRIOR);
 		this.one.figures.onStats(new RegistryChange.EngineStatsUpdated("llm", few, new StorePosition(2, 20)));
-		Assertions.assertThat(this.one.times().known()).contains(few);
+		Assertions.assertThat(this.one.times().statistics()).contains(few);
 	}
 
 	private final class Vm {
@@ -153,7 +153,7 @@
 			this.figures.start();
 		}
 
-		private EngineTimes times() {
+		private EngineTimeEstimator times() {
 			return this.gateway.engineTimes("llm");
 		}
 
--- a/src/test/java/io/shallotspur/registry/SimulatedStore.java
+++ b/src/test/java/io/shallotspur/registry/SimulatedStore.java
@@ -14,7 +14,7 @@
 
 import io.shallotspur.exc.StoreHistoryGoneException;
 import io.shallotspur.exc.StoreUnavailableException;
-import io.shallotspur.gateway.EngineFigures;
+import io.shallotspur.gateway.EngineStatistics;
 import io.shallotspur.gateway.EntryVm;
 import io.shallotspur.gateway.ManualTimer;
 import io.shallotspur.gateway.WorkerStage;
@@ -270,7 +270,7 @@
 	}
 
 	@Override
-	public Mono<Boolean> publishStats(String upstream, EngineFigures figures, StorePosition before) {
+	public Mono<Boolean> publishStats(String upstream, EngineStatistics figures, StorePosition before) {
 		return Mono.never();
 	}
 
--- a/src/test/java/io/shallotspur/registry/WorkerDrainModelTests.java
+++ b/src/test/java/io/shallotspur/registry/WorkerDrainModelTests.java
@@ -282,7 +282,7 @@
 
 		private void look() {
 			long now = this.timer.now();
-			List<String> used = this.gateway.roster().staying("up", now).stream().map(WorkerInfo::id).toList();
+			List<String> used = this.gateway.roster().activeWorkers("up", now).stream().map(WorkerInfo::id).toList();
 			this.givenUpMs = used.contains("stayer") ? 0 : this.givenUpMs + LOOK_MS;
 			if (!this.wasCutOff && this.gateway.routeTable().isPresent() && this.givenUpMs > this.mayGiveUpMs) {
 				this.faults.add("gave up the worker that stays at " + now);
--- a/src/test/java/io/shallotspur/stage/StageKeeperTests.java
+++ b/src/test/java/io/shallotspur/stage/StageKeeperTests.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.Test;
 
 import io.shallotspur.gateway.DecisionLog;
-import io.shallotspur.gateway.EngineFigures;
+import io.shallotspur.gateway.EngineStatistics;
 import io.shallotspur.gateway.EntryVm;
 import io.shallotspur.gateway.Gateway;
 import io.shallotspur.gateway.GatewayPorts;
 import io.shallotspur.gateway.GatewaySettings;
-import io.shallotspur.gateway.LengthModel;
+import io.shallotspur.gateway.OutputLengthModel;
 import io.shallotspur.gateway.ManualTimer;
 import io.shallotspur.gateway.NopWorkers;
 import io.shallotspur.gateway.RelayMetrics;
@@ -83,7 +83,7 @@
 
 	private void heard(int samples) {
 		this.gateway.engineTimes("llm")
-			.heard(new EngineFigures(samples, 3_200, 500, 4_000, 0.0323, 0.0323, 7, LengthModel.BELIEVED));
+			.setSharedStatistics(new EngineStatistics(samples, 3_200, 500, 4_000, 0.0323, 0.0323, 7, OutputLengthModel.PRIOR));
 	}
 
 	private List<RegistryChange> listing() {
@@ -151,7 +151,7 @@
 	@Test
 	void leavesTheWorkersAsTheyAreWhileOneIsAway() {
 		this.timer.advance(4_000);
-		this.gateway.roster().vanished("d-a", this.timer.now());
+		this.gateway.roster().entryRemoved("d-a", this.timer.now());
 		this.timer.advance(4_000);
 		Assertions.assertThat(this.port.orders).isEmpty();
 		this.timer.advance(6_000);
@@ -243,7 +243,7 @@
 	}
 
 	private void seen(WorkerInfo w) {
-		this.gateway.roster().seen(w, this.timer.now());
+		this.gateway.roster().updateEntry(w, this.timer.now());
 	}
 
 }
