--- a/src/main/java/io/shallotspur/platform/PlatformVm.java
+++ b/src/main/java/io/shallotspur/platform/PlatformVm.java
@@ -25,7 +25,7 @@
 import io.shallotspur.registry.SharedEngineStats;
 import io.shallotspur.registry.VmLoadSampler;
 import io.shallotspur.registry.VmRegistration;
-import io.shallotspur.stage.StageKeeper;
+import io.shallotspur.stage.StageRebalancer;
 
 /**
  * One entry VM on the platform: wires the gateway to its adapters, starts and drains
@@ -60,7 +60,7 @@
 
 	private final VmRegistration registration;
 
-	private final StageKeeper stages;
+	private final StageRebalancer stages;
 
 	private final SharedEngineStats figures;
 
@@ -95,7 +95,7 @@
 		Leadership duty = new Leadership(registry, this.registration, this.gateway.entryVms(), self.key(), s.orders().turnMs(),
 				this.clock);
 		this.follower.setLeadership(duty);
-		this.stages = new StageKeeper(s.gateway().vmName(), this.gateway, duty,
+		this.stages = new StageRebalancer(s.gateway().vmName(), this.gateway, duty,
 				new HttpStagePort(workers.side(), this.loop), this.loop, this.clock, s.changes().propagationMs());
 		this.figures = new SharedEngineStats(registry, this.gateway, this.loop,
 				() -> ThreadLocalRandom.current().nextDouble());
