--- a/src/main/java/io/shallotspur/platform/RequestDecoder.java
+++ b/src/main/java/io/shallotspur/platform/RequestDecoder.java
@@ -43,7 +43,7 @@
 	// could see otherwise.
 	private static @Nullable String keyHash(HttpHeaders h) {
 		List<String> l = h.getAll(Names.CREDENTIALS);
-		return (l.size() == 1) ? BearerKey.hashOf(l.get(0)).orElse(null) : null;
+		return (l.size() == 1) ? BearerKey.hashCredentials(l.get(0)).orElse(null) : null;
 	}
 
 	private static long waitMs(HttpHeaders h) throws InputException {
