--- a/src/test/java/io/shallotspur/platform/CustomerDecodingTests.java
+++ b/src/test/java/io/shallotspur/platform/CustomerDecodingTests.java
@@ -25,7 +25,7 @@
 	}
 
 	private static Customer customer(RouteTable t, String key) {
-		return t.customer(BearerKey.hash(key)).orElseThrow();
+		return t.findCustomer(BearerKey.hash(key)).orElseThrow();
 	}
 
 	@Test
@@ -36,14 +36,14 @@
 		Customer c = customer(t, "k2");
 		Assertions.assertThat(c.name()).isEqualTo("huka270");
 		Assertions.assertThat(c.quota().unit()).isEqualTo(QuotaUnit.TOKENS);
-		Assertions.assertThat(c.quota().perSecond()).isEqualTo(246_600);
+		Assertions.assertThat(c.quota().unitsPerSecond()).isEqualTo(246_600);
 		Assertions.assertThat(c.quota().burst()).isEqualTo(123_300);
-		Route r = t.find("h", "/r/x").orElseThrow();
+		Route r = t.findRoute("h", "/r/x").orElseThrow();
 		Assertions.assertThat(c.priorityOn(r)).isEqualTo(1);
-		Assertions.assertThat(t.customer(BearerKey.hash("k3"))).isEmpty();
-		Assertions.assertThat(t.asksForKeys()).isTrue();
-		Assertions.assertThat(r.anonymous()).isFalse();
-		Assertions.assertThat(t.find("h", "/o/x").orElseThrow().anonymous()).isTrue();
+		Assertions.assertThat(t.findCustomer(BearerKey.hash("k3"))).isEmpty();
+		Assertions.assertThat(t.requiresKeys()).isTrue();
+		Assertions.assertThat(r.allowsAnonymous()).isFalse();
+		Assertions.assertThat(t.findRoute("h", "/o/x").orElseThrow().allowsAnonymous()).isTrue();
 	}
 
 	// No rate, or none that is more than 0, is no limit; taken for one, the customer
@@ -53,16 +53,16 @@
 	void whatIsLeftOutIsNoLimitAndNoRank() throws IOException, InputException {
 		RouteTable t = table(
 				",\"tenants\":[{\"name\":\"a\",\"api_keys\":[\"k1\"]},{\"name\":\"b\",\"api_keys\":[\"k2\"],\"rate_per_s\":0}]");
-		Assertions.assertThat(customer(t, "k1").quota().limited()).isFalse();
-		Assertions.assertThat(customer(t, "k2").quota().limited()).isFalse();
-		Assertions.assertThat(customer(t, "k1").priorityOn(t.find("h", "/r/x").orElseThrow())).isEqualTo(2);
+		Assertions.assertThat(customer(t, "k1").quota().isLimited()).isFalse();
+		Assertions.assertThat(customer(t, "k2").quota().isLimited()).isFalse();
+		Assertions.assertThat(customer(t, "k1").priorityOn(t.findRoute("h", "/r/x").orElseThrow())).isEqualTo(2);
 	}
 
 	// The last key of a customer is taken away. Its callers must not become anonymous.
 	@Test
 	void aCustomerWithoutKeysStillMakesCallersShowOne() throws IOException, InputException {
-		Assertions.assertThat(table(",\"tenants\":[{\"name\":\"a\",\"api_keys\":[]}]").asksForKeys()).isTrue();
-		Assertions.assertThat(table("").asksForKeys()).isFalse();
+		Assertions.assertThat(table(",\"tenants\":[{\"name\":\"a\",\"api_keys\":[]}]").requiresKeys()).isTrue();
+		Assertions.assertThat(table("").requiresKeys()).isFalse();
 	}
 
 }
