--- a/src/main/java/io/shallotspur/cell/CellAction.java
+++ b/src/main/java/io/shallotspur/cell/CellAction.java
@@ -16,7 +16,8 @@
 	 * @param attempt unique among the attempts of the scheduler
 	 * @param prefillWorkerId the worker that reads the prompt
 	 * @param decodeWorkerId the worker on which a slot is reserved
-	 * @param deliveredTokens tokens the caller already has; they are part of the prompt now
+	 * @param deliveredTokens tokens the caller already has; they are part of the prompt
+	 * now
 	 */
 	record StartPrefill(String requestId, long attempt, String prefillWorkerId, String decodeWorkerId,
 			int deliveredTokens) implements CellAction {
--- a/src/main/java/io/shallotspur/cell/CellSettings.java
+++ b/src/main/java/io/shallotspur/cell/CellSettings.java
@@ -15,13 +15,13 @@
  * @param initialOutputTokens answer length assumed until learnt, default 200
  * @param queueLimit the most requests that wait in the cell, default 1024
  * @param lookahead the most waiting requests that one decision looks at, default 64
- * @param kvExpiryMarginMs a transfer is begun at least so long before the KV cache would be
- * evicted, default 50 ms
- * @param minStallMarginMs the least patience with a transfer beyond its prediction, default
- * 60 ms
+ * @param kvExpiryMarginMs a transfer is begun at least so long before the KV cache would
+ * be evicted, default 50 ms
+ * @param minStallMarginMs the least patience with a transfer beyond its prediction,
+ * default 60 ms
  * @param retryRatio retries earned per first try, default 0.1
- * @param minRetries retries a customer may have in ten seconds however few first tries
- * it had, default 24: the requests of one decode worker
+ * @param minRetries retries a customer may have in ten seconds however few first tries it
+ * had, default 24: the requests of one decode worker
  * @param maxAttempts the most tries of one request, default 4
  * @param slotConfidence standard deviations of doubt that a reservation allows for,
  * default 1
@@ -53,10 +53,10 @@
 	 * @return new settings
 	 */
 	public CellSettings withFeatures(Set<CellFeature> features) {
-		return new CellSettings(features, this.initialPrefillMsPerToken, this.initialStepMs, this.initialStepMsPerRequest,
-				this.initialOutputTokens, this.queueLimit, this.lookahead, this.kvExpiryMarginMs, this.minStallMarginMs,
-				this.retryRatio, this.minRetries, this.maxAttempts, this.slotConfidence, this.suspectClearTokens,
-				this.takeoverSlots);
+		return new CellSettings(features, this.initialPrefillMsPerToken, this.initialStepMs,
+				this.initialStepMsPerRequest, this.initialOutputTokens, this.queueLimit, this.lookahead,
+				this.kvExpiryMarginMs, this.minStallMarginMs, this.retryRatio, this.minRetries, this.maxAttempts,
+				this.slotConfidence, this.suspectClearTokens, this.takeoverSlots);
 	}
 
 	/**
--- a/src/main/java/io/shallotspur/demo/CapacityState.java
+++ b/src/main/java/io/shallotspur/demo/CapacityState.java
@@ -18,8 +18,8 @@
 import io.shallotspur.ledger.MemoryLedger;
 import io.shallotspur.ledger.Shard;
 import io.shallotspur.ledger.ShardCodec;
-import io.shallotspur.locate.CellMap;
 import io.shallotspur.locate.CellDefinition;
+import io.shallotspur.locate.CellMap;
 import io.shallotspur.locate.CellPartitioner;
 import io.shallotspur.membership.Member;
 import io.shallotspur.membership.MemberStatus;
@@ -120,7 +120,8 @@
 					(i) -> m.locate("u" + i % UPSTREAMS, "c" + i, 0.001, (c) -> 0.5, this.random));
 		});
 		this.table.row("choose the cell of a request, 780 members", "us", "workers", WORKERS, (n) -> {
-			CellMap m = CellMap.of(CellPartitioner.partition(workers(n)), Set.of(), view(this.table.scaled(MEMBERS[2])));
+			CellMap m = CellMap.of(CellPartitioner.partition(workers(n)), Set.of(),
+					view(this.table.scaled(MEMBERS[2])));
 			return this.table.micros(2000, (i) -> m.selectCell("u" + i % UPSTREAMS, "c" + i, 0.001, i, (c) -> 0.5));
 		});
 	}
--- a/src/main/java/io/shallotspur/distribution/AntiEntropy.java
+++ b/src/main/java/io/shallotspur/distribution/AntiEntropy.java
@@ -88,7 +88,8 @@
 			}
 		}
 		List<HeldRevision> held = new ArrayList<>();
-		leaves.forEach((l) -> table.contractsInLeaf(l).forEach((c) -> held.add(new HeldRevision(c.customer(), c.revision()))));
+		leaves.forEach(
+				(l) -> table.contractsInLeaf(l).forEach((c) -> held.add(new HeldRevision(c.customer(), c.revision()))));
 		return new ContractsRequest(leaves.stream().mapToInt(Integer::intValue).toArray(), held);
 	}
 
--- a/src/main/java/io/shallotspur/distribution/ContractChange.java
+++ b/src/main/java/io/shallotspur/distribution/ContractChange.java
@@ -7,8 +7,8 @@
  *
  * @param changeId unique; the same change sent twice is carried out once
  * @param contract the new terms; its revision is of no meaning
- * @param expectedRevision the revision that the operator has seen, {@link #ABSENT} if there must be
- * no contract in force, or {@link #ANY_REVISION}
+ * @param expectedRevision the revision that the operator has seen, {@link #ABSENT} if
+ * there must be no contract in force, or {@link #ANY_REVISION}
  */
 public record ContractChange(String changeId, Contract contract, long expectedRevision) {
 
--- a/src/main/java/io/shallotspur/distribution/ContractStore.java
+++ b/src/main/java/io/shallotspur/distribution/ContractStore.java
@@ -97,7 +97,8 @@
 			.flatMap((v) -> compareAndSwap(change, key, v, number, uncertain));
 	}
 
-	private Mono<Contract> compareAndSwap(ContractChange change, String key, Versioned v, int number, boolean uncertain) {
+	private Mono<Contract> compareAndSwap(ContractChange change, String key, Versioned v, int number,
+			boolean uncertain) {
 		ContractBucket.Change done = v.bucket().findChange(change.changeId()).orElse(null);
 		if (done != null) {
 			return Mono.just(change.contract().withRevision(done.revision()));
--- a/src/main/java/io/shallotspur/gateway/RequestAdmission.java
+++ b/src/main/java/io/shallotspur/gateway/RequestAdmission.java
@@ -102,7 +102,8 @@
 			return;
 		}
 		this.awaitingConfig = true;
-		long timeoutMs = Math.min(MAX_CONFIG_REFRESH_MS, Math.max(1, (long) (CONFIG_REFRESH_SHARE * r.latencyTargetMs())));
+		long timeoutMs = Math.min(MAX_CONFIG_REFRESH_MS,
+				Math.max(1, (long) (CONFIG_REFRESH_SHARE * r.latencyTargetMs())));
 		this.cancelTimer = this.gateway.timer.schedule(timeoutMs, this::configRefreshed);
 		this.gateway.refreshConfig(this::configRefreshed);
 	}
--- a/src/main/java/io/shallotspur/gateway/RequestPlacement.java
+++ b/src/main/java/io/shallotspur/gateway/RequestPlacement.java
@@ -306,13 +306,15 @@
 	private boolean wouldStall(PromptInfo prompt) {
 		return this.engine != null && this.gateway.engineTimes(this.upstream)
 			.statistics()
-			.filter((f) -> f.wouldStall(prompt.promptTokens(), this.engine.tokensPerEvent(), this.route.maxEventGapMs()))
+			.filter((f) -> f.wouldStall(prompt.promptTokens(), this.engine.tokensPerEvent(),
+					this.route.maxEventGapMs()))
 			.isPresent();
 	}
 
 	// Follows the duration of recent prefills, within the lifetime of the reservation.
 	private long prefillTimeoutMs() {
-		long defaultMs = Math.max(MIN_PREFILL_TIMEOUT_MS, (long) (this.route.latencyTargetMs() * TARGET_PREFILL_FRACTION));
+		long defaultMs = Math.max(MIN_PREFILL_TIMEOUT_MS,
+				(long) (this.route.latencyTargetMs() * TARGET_PREFILL_FRACTION));
 		long maxMs = Math.max(defaultMs, (long) (RESERVATION_PREFILL_FRACTION * reservationMs()));
 		long expectedMs = this.gateway.engineTimes(this.upstream).prefillTimeoutMs();
 		return (expectedMs > 0) ? Math.min(maxMs, Math.max(MIN_PREFILL_TIMEOUT_MS, expectedMs)) : defaultMs;
--- a/src/main/java/io/shallotspur/locate/LoadTable.java
+++ b/src/main/java/io/shallotspur/locate/LoadTable.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * The last load heard of each cell. Not thread-safe. What is older than {@link #MAX_AGE_MS}
- * counts as unknown.
+ * The last load heard of each cell. Not thread-safe. What is older than
+ * {@link #MAX_AGE_MS} counts as unknown.
  */
 public final class LoadTable {
 
--- a/src/main/java/io/shallotspur/node/cluster/ContractLoop.java
+++ b/src/main/java/io/shallotspur/node/cluster/ContractLoop.java
@@ -19,11 +19,11 @@
 import io.shallotspur.contract.Contract;
 import io.shallotspur.contract.ContractSet;
 import io.shallotspur.contract.ContractValidator;
+import io.shallotspur.distribution.AntiEntropy;
 import io.shallotspur.distribution.ContractChange;
 import io.shallotspur.distribution.ContractMessage;
 import io.shallotspur.distribution.ContractStore;
 import io.shallotspur.distribution.ContractTable;
-import io.shallotspur.distribution.AntiEntropy;
 import io.shallotspur.exc.ContractInvalidException;
 import io.shallotspur.exc.PeerException;
 import io.shallotspur.exc.StoreUnavailableException;
@@ -216,7 +216,8 @@
 	private Mono<Boolean> fetch(Member m, ContractMessage.DigestReply r) {
 		ContractMessage.LeavesRequest groups = AntiEntropy.leavesRequest(this.table, r);
 		return ask(m, groups, ContractMessage.LeavesReply.class)
-			.flatMap((l) -> ask(m, AntiEntropy.contractsRequest(this.table, groups, l), ContractMessage.ContractsReply.class))
+			.flatMap((l) -> ask(m, AntiEntropy.contractsRequest(this.table, groups, l),
+					ContractMessage.ContractsReply.class))
 			.doOnNext((c) -> take(c.contracts(), false))
 			.thenReturn(true);
 	}
--- a/src/main/java/io/shallotspur/node/quarantine/SuspectMessages.java
+++ b/src/main/java/io/shallotspur/node/quarantine/SuspectMessages.java
@@ -20,7 +20,8 @@
 	 * @return the same registry
 	 */
 	public static <R extends MessageRegistry> R register(R registry) {
-		registry.register(SuspectsUpdate.TYPE, SuspectsUpdate.class).register(SuspectsRequest.TYPE, SuspectsRequest.class);
+		registry.register(SuspectsUpdate.TYPE, SuspectsUpdate.class)
+			.register(SuspectsRequest.TYPE, SuspectsRequest.class);
 		return registry;
 	}
 
--- a/src/main/java/io/shallotspur/plain/PlainWorker.java
+++ b/src/main/java/io/shallotspur/plain/PlainWorker.java
@@ -83,7 +83,8 @@
 		this.running--;
 		recordLatency(Math.max(0.1, tookMs));
 		if (this.averageMs > this.baselineMs * this.tolerance) {
-			this.limit *= Math.max(MIN_DECREASE_FACTOR, 1 - (1 - this.baselineMs * this.tolerance / this.averageMs) / this.limit);
+			this.limit *= Math.max(MIN_DECREASE_FACTOR,
+					1 - (1 - this.baselineMs * this.tolerance / this.averageMs) / this.limit);
 		}
 		else if (full) {
 			this.limit += 1 / this.limit;
--- a/src/main/java/io/shallotspur/plain/StdPlainScheduler.java
+++ b/src/main/java/io/shallotspur/plain/StdPlainScheduler.java
@@ -73,8 +73,8 @@
 		this.settings = settings;
 		this.contracts = contracts;
 		this.queue = new FairQueue<>(this::share);
-		this.retryBudget = new RetryBudget(new RetryBudgetSettings(settings.retryRatio(), settings.minRetries(),
-				RETRY_WINDOW_MS, MAX_CUSTOMERS));
+		this.retryBudget = new RetryBudget(
+				new RetryBudgetSettings(settings.retryRatio(), settings.minRetries(), RETRY_WINDOW_MS, MAX_CUSTOMERS));
 	}
 
 	@Override
--- a/src/main/java/io/shallotspur/quarantine/CrashSuspects.java
+++ b/src/main/java/io/shallotspur/quarantine/CrashSuspects.java
@@ -174,7 +174,10 @@
 	 */
 	public synchronized List<SuspectEntry> drainChanges(long now) {
 		removeExpired(now);
-		List<SuspectEntry> l = this.changedFingerprints.stream().filter(this.entries::containsKey).map(this.entries::get).toList();
+		List<SuspectEntry> l = this.changedFingerprints.stream()
+			.filter(this.entries::containsKey)
+			.map(this.entries::get)
+			.toList();
 		this.changedFingerprints.clear();
 		return l;
 	}
--- a/src/main/java/io/shallotspur/route/EngineSpec.java
+++ b/src/main/java/io/shallotspur/route/EngineSpec.java
@@ -9,11 +9,11 @@
  * @param linkMbps rate of a worker's link in megabits a second
  * @param kvHandleTtlMs how long the result of a prefill is kept for its decode worker, in
  * milliseconds
- * @param maxReservationMs the longest time for which a place can be reserved, in milliseconds; 0 if
- * none can
+ * @param maxReservationMs the longest time for which a place can be reserved, in
+ * milliseconds; 0 if none can
  * @param tokensPerEvent tokens in each event of an answer; 0 if the operator does not say
  */
-public record EngineSpec(int slots, long kvCacheTokens, double kvBytesPerToken, double linkMbps, long kvHandleTtlMs, long maxReservationMs,
-		int tokensPerEvent) {
+public record EngineSpec(int slots, long kvCacheTokens, double kvBytesPerToken, double linkMbps, long kvHandleTtlMs,
+		long maxReservationMs, int tokensPerEvent) {
 
 }
--- a/src/main/java/io/shallotspur/route/Quota.java
+++ b/src/main/java/io/shallotspur/route/Quota.java
@@ -6,8 +6,8 @@
  * @param unit what is counted
  * @param unitsPerSecond what may be asked for in a second, in units; 0 for no limit
  * @param burst what may be asked for at once after a pause, in units
- * @param plainRequestTokens the tokens that a request without a prompt counts as, where tokens
- * are counted
+ * @param plainRequestTokens the tokens that a request without a prompt counts as, where
+ * tokens are counted
  */
 public record Quota(QuotaUnit unit, double unitsPerSecond, double burst, int plainRequestTokens) {
 
--- a/src/main/java/io/shallotspur/route/Route.java
+++ b/src/main/java/io/shallotspur/route/Route.java
@@ -11,7 +11,8 @@
  * @param kind what may be repeated
  * @param targets the upstreams that serve it; at least one
  * @param timeoutMs the longest time a request may be kept waiting, in milliseconds
- * @param latencyTargetMs the latency objective in milliseconds (streams: up to the first event)
+ * @param latencyTargetMs the latency objective in milliseconds (streams: up to the first
+ * event)
  * @param maxEventGapMs the longest pause between two events that is still on time, in
  * milliseconds; 0 for routes that are not streams
  * @param priority the rank; 0 is the highest
@@ -20,9 +21,9 @@
  * @param hasPromptMetadata whether its requests say what their prompt consists of
  * @param allowsAnonymous whether its callers need no key
  */
-public record Route(String name, String host, String pathPrefix, RouteKind kind, List<RouteTarget> targets, long timeoutMs,
-		long latencyTargetMs, long maxEventGapMs, int priority, int maxAttempts, boolean resumable, boolean hasPromptMetadata,
-		boolean allowsAnonymous) {
+public record Route(String name, String host, String pathPrefix, RouteKind kind, List<RouteTarget> targets,
+		long timeoutMs, long latencyTargetMs, long maxEventGapMs, int priority, int maxAttempts, boolean resumable,
+		boolean hasPromptMetadata, boolean allowsAnonymous) {
 
 	/**
 	 * Creates a route; the list of targets is copied.
