--- a/src/main/java/io/shallotspur/demo/CapacityState.java
+++ b/src/main/java/io/shallotspur/demo/CapacityState.java
@@ -30,7 +30,7 @@
 import io.shallotspur.record.Recorder;
 import io.shallotspur.record.RequestEnd;
 import io.shallotspur.record.Verdict;
-import io.shallotspur.resume.ResumeClaim;
+import io.shallotspur.resume.ResumeClaims;
 import io.shallotspur.resume.ResumeException;
 import io.shallotspur.resume.ResumeKey;
 import io.shallotspur.resume.ResumeTokens;
@@ -187,8 +187,9 @@
 			RequestEnd[] ends = ends(n);
 			return this.table.micros(OFTEN, (i) -> m.finished(ends[i % ends.length]));
 		});
-		ResumeTokens tokens = new ResumeTokens(List.of(new ResumeKey("k1", new byte[ResumeKey.MIN_BYTES])), 60_000);
-		ResumeClaim claim = new ResumeClaim("lonestar", "decode-0001", "vm-1~1~1", 0, 7);
+		ResumeTokens tokens = new ResumeTokens(List.of(new ResumeKey("k1", new byte[ResumeKey.MIN_SECRET_BYTES])),
+				60_000);
+		ResumeClaims claim = new ResumeClaims("lonestar", "decode-0001", "vm-1~1~1", 0, 7);
 		String token = tokens.issue(claim, 0);
 		this.table.note("issue a resume token", us(this.table.micros(OFTEN, (i) -> tokens.issue(claim, i))));
 		this.table.note("verify a resume token", us(this.table.micros(OFTEN, (i) -> verify(tokens, token))));
