--- a/src/main/java/io/shallotspur/admission/DemandDigest.java
+++ b/src/main/java/io/shallotspur/admission/DemandDigest.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * What the customers ask of one cell, as its owner tells its peers. Immutable and
- * bounded: it names the customers with the largest demand only.
+ * The demand of customers on one cell, as the owner of the cell reports it to its peers.
+ * Immutable and bounded: it contains only the customers with the largest demand.
  *
  * @param cell the cell
- * @param measuredAt when it was measured, in milliseconds of the owner's time; a later
- * one replaces an earlier one
- * @param entries the demands, the largest first
+ * @param measuredAt time of the measurement, in milliseconds of the owner's clock; a
+ * digest with a later time replaces an earlier one
+ * @param entries the demand by customer, in descending order
  */
 public record DemandDigest(String cell, long measuredAt, List<Entry> entries) {
 
@@ -21,7 +21,7 @@
 	 * The demand of one customer. Immutable.
 	 *
 	 * @param customer the customer
-	 * @param demand engine milliseconds asked for per second
+	 * @param demand the requested engine time, in milliseconds per second
 	 */
 	public record Entry(String customer, double demand) {
 
--- a/src/main/java/io/shallotspur/admission/FairQueue.java
+++ b/src/main/java/io/shallotspur/admission/FairQueue.java
@@ -13,27 +13,29 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The waiting work of a cell or of a plain upstream: strict priority between levels,
- * start-time fair queueing by weighted cost between the customers of a level, earliest
- * due first within a customer. Work conserving: a customer that waits alone gets all.
+ * Queue of the pending requests of a cell or of a plain upstream. It applies strict
+ * priority between levels, start-time fair queueing by weighted cost between the
+ * customers of a level, and earliest due time first within a customer. It is work
+ * conserving: a customer without competitors may use the full capacity.
  * <p>
- * Invariants: an item is held once at most; virtual time never runs back; a customer that
- * was idle gains no claim from it. Adding, removing and charging take O(log n) in the
+ * Invariants: an item is queued at most once; virtual time never decreases; an idle
+ * customer accumulates no credit. Adding, removing and charging take O(log n) in the
  * number of customers. Not thread-safe.
  *
  * @param <T> the type of the items
  */
 public final class FairQueue<T extends FairQueue.Item> {
 
-	private static final Comparator<Item> BY_DUE = Comparator.comparingLong(Item::dueAt)
+	private static final Comparator<Item> BY_DUE_TIME = Comparator.comparingLong(Item::dueAt)
 		.thenComparingLong(Item::sequence);
 
-	private static final Comparator<Flow<?>> BY_VIRTUAL = Comparator.<Flow<?>>comparingDouble((f) -> f.virtual)
-		.thenComparing((f) -> f.name);
+	private static final Comparator<Flow<?>> BY_VIRTUAL_TIME = Comparator
+		.<Flow<?>>comparingDouble((flow) -> flow.virtualTime)
+		.thenComparing((flow) -> flow.name);
 
 	private static final double MIN_WEIGHT = 1e-6;
 
-	private static final int LOWER_EVERY = 8;
+	private static final int LOWER_LEVEL_INTERVAL = 8;
 
 	private final ToDoubleFunction<String> weights;
 
@@ -41,15 +43,15 @@
 
 	private final TreeMap<Integer, Level<T>> levels = new TreeMap<>();
 
-	private double virtual;
+	private double virtualTime;
 
 	private int size;
 
-	private int starts;
+	private int dispatchCount;
 
 	/**
 	 * Creates an empty queue.
-	 * @param weights the weight of a customer, asked whenever it is charged
+	 * @param weights returns the weight of a customer; called on each charge
 	 */
 	public FairQueue(ToDoubleFunction<String> weights) {
 		this.weights = weights;
@@ -60,109 +62,110 @@
 	 * @param item the item
 	 */
 	public void add(T item) {
-		Flow<T> f = this.flows.computeIfAbsent(item.flow(), (c) -> new Flow<>(c, this.virtual));
-		if (f.size == 0) {
-			f.virtual = Math.max(f.virtual, this.virtual);
+		Flow<T> flow = this.flows.computeIfAbsent(item.flow(), (name) -> new Flow<>(name, this.virtualTime));
+		if (flow.size == 0) {
+			flow.virtualTime = Math.max(flow.virtualTime, this.virtualTime);
 		}
-		Level<T> level = this.levels.computeIfAbsent(item.priority(), (p) -> new Level<>());
-		TreeSet<T> items = f.byLevel.computeIfAbsent(item.priority(), (p) -> new TreeSet<>(BY_DUE));
+		Level<T> level = this.levels.computeIfAbsent(item.priority(), (priority) -> new Level<>());
+		TreeSet<T> items = flow.byLevel.computeIfAbsent(item.priority(), (priority) -> new TreeSet<>(BY_DUE_TIME));
 		if (items.isEmpty()) {
-			level.flows.add(f);
+			level.flows.add(flow);
 		}
 		if (items.add(item)) {
-			f.size++;
+			flow.size++;
 			this.size++;
-			level.byDue.add(item);
+			level.byDueTime.add(item);
 		}
 	}
 
 	/**
-	 * Removes an item, without a charge.
+	 * Removes an item without charging its flow.
 	 * @param item the item
-	 * @return whether it was held
+	 * @return whether the item was queued
 	 */
 	public boolean remove(T item) {
-		Flow<T> f = this.flows.get(item.flow());
-		TreeSet<T> items = (f != null) ? f.byLevel.get(item.priority()) : null;
+		Flow<T> flow = this.flows.get(item.flow());
+		TreeSet<T> items = (flow != null) ? flow.byLevel.get(item.priority()) : null;
 		Level<T> level = this.levels.get(item.priority());
-		if (f == null || items == null || level == null || !items.remove(item)) {
+		if (flow == null || items == null || level == null || !items.remove(item)) {
 			return false;
 		}
-		f.size--;
+		flow.size--;
 		this.size--;
-		level.byDue.remove(item);
+		level.byDueTime.remove(item);
 		if (items.isEmpty()) {
-			f.byLevel.remove(item.priority());
-			level.flows.remove(f);
+			flow.byLevel.remove(item.priority());
+			level.flows.remove(flow);
 		}
 		if (level.flows.isEmpty()) {
 			this.levels.remove(item.priority());
 		}
-		forgetIfIdle(f);
+		removeIfIdle(flow);
 		return true;
 	}
 
 	/**
-	 * Removes an item that is started, and charges its flow.
+	 * Removes an item that is being started and charges its flow.
 	 * @param item the item
-	 * @param cost its predicted cost
-	 * @return whether it was held
+	 * @param cost the predicted cost of the item
+	 * @return whether the item was queued
 	 */
 	public boolean dispatch(T item, double cost) {
-		Flow<T> f = this.flows.get(item.flow());
-		if (f == null) {
+		Flow<T> flow = this.flows.get(item.flow());
+		if (flow == null) {
 			return false;
 		}
-		double startTag = f.virtual;
+		double startTag = flow.virtualTime;
 		if (!remove(item)) {
 			return false;
 		}
-		this.starts++;
-		this.virtual = Math.max(this.virtual, Math.min(startTag, leastBacklogged()));
+		this.dispatchCount++;
+		this.virtualTime = Math.max(this.virtualTime, Math.min(startTag, minBackloggedVirtualTime()));
 		charge(item.flow(), cost);
 		return true;
 	}
 
 	/**
-	 * Charges a flow, for instance the difference between true and predicted cost.
-	 * @param flow the name of the flow
-	 * @param cost the cost, negative to give some back
+	 * Charges a flow, for instance for the difference between actual and predicted cost.
+	 * @param flowName the name of the flow
+	 * @param cost the cost; negative for a refund
 	 */
-	public void charge(String flow, double cost) {
-		Flow<T> f = this.flows.computeIfAbsent(flow, (c) -> new Flow<>(c, this.virtual));
-		f.byLevel.keySet().forEach((p) -> flows(p).remove(f));
-		f.virtual += cost / Math.max(MIN_WEIGHT, this.weights.applyAsDouble(flow));
-		f.byLevel.keySet().forEach((p) -> flows(p).add(f));
-		forgetIfIdle(f);
+	public void charge(String flowName, double cost) {
+		Flow<T> flow = this.flows.computeIfAbsent(flowName, (name) -> new Flow<>(name, this.virtualTime));
+		flow.byLevel.keySet().forEach((priority) -> flowsAt(priority).remove(flow));
+		flow.virtualTime += cost / Math.max(MIN_WEIGHT, this.weights.applyAsDouble(flowName));
+		flow.byLevel.keySet().forEach((priority) -> flowsAt(priority).add(flow));
+		removeIfIdle(flow);
 	}
 
 	/**
-	 * Offers waiting items in the order in which they should start, until one is taken or
-	 * enough have been offered. One start in eight is offered to the lower levels first,
-	 * so that a steady load of higher ones does not starve them.
-	 * @param most the most items to offer
-	 * @param taken tells whether to stop at an item
-	 * @return the item that was taken, or {@code null}
+	 * Passes pending items to a predicate in dispatch order until it accepts one or the
+	 * maximum number has been examined. For every eighth dispatch the lower level whose
+	 * first item is due earliest is examined first, so that a steady load at a higher
+	 * level does not starve the lower ones. The selected item stays in the queue.
+	 * @param maxCandidates the maximum number of items to examine
+	 * @param accept whether to select an item
+	 * @return the selected item, or {@code null} if there is none
 	 */
-	public @Nullable T findNext(int most, Predicate<T> taken) {
-		Offer<T> offer = new Offer<>(most, taken);
-		Map.Entry<Integer, Level<T>> lower = lowerTurn();
+	public @Nullable T findNext(int maxCandidates, Predicate<T> accept) {
+		Scan<T> scan = new Scan<>(maxCandidates, accept);
+		Map.Entry<Integer, Level<T>> lower = preferredLowerLevel();
 		if (lower != null) {
-			offer.level(lower.getKey(), lower.getValue());
+			scan.visit(lower.getKey(), lower.getValue());
 		}
-		for (Map.Entry<Integer, Level<T>> e : this.levels.entrySet()) {
-			if (offer.done()) {
+		for (Map.Entry<Integer, Level<T>> entry : this.levels.entrySet()) {
+			if (scan.isDone()) {
 				break;
 			}
-			if (lower == null || !e.getKey().equals(lower.getKey())) {
-				offer.level(e.getKey(), e.getValue());
+			if (lower == null || !entry.getKey().equals(lower.getKey())) {
+				scan.visit(entry.getKey(), entry.getValue());
 			}
 		}
-		return offer.chosen;
+		return scan.selected;
 	}
 
 	/**
-	 * Returns how many items wait.
+	 * Returns the number of pending items.
 	 * @return the number of items
 	 */
 	public int size() {
@@ -170,89 +173,92 @@
 	}
 
 	/**
-	 * Returns how many items of a flow wait.
-	 * @param flow the name of the flow
+	 * Returns the number of pending items of a flow.
+	 * @param flowName the name of the flow
 	 * @return the number of items
 	 */
-	public int size(String flow) {
-		Flow<T> f = this.flows.get(flow);
-		return (f != null) ? f.size : 0;
+	public int size(String flowName) {
+		Flow<T> flow = this.flows.get(flowName);
+		return (flow != null) ? flow.size : 0;
 	}
 
 	/**
-	 * Returns all waiting items, level by level, the first due first.
+	 * Returns all pending items by level, within a level in order of their due times.
 	 * @return a new list
 	 */
 	public List<T> items() {
-		List<T> l = new ArrayList<>(this.size);
-		this.levels.values().forEach((v) -> l.addAll(v.byDue));
-		return l;
+		List<T> items = new ArrayList<>(this.size);
+		this.levels.values().forEach((level) -> items.addAll(level.byDueTime));
+		return items;
 	}
 
 	/**
-	 * Returns how many flows are remembered.
-	 * @return the number of flows that wait or have been served more than their share
+	 * Returns the number of flows for which the queue keeps state.
+	 * @return the number of flows that have pending items or have used more than their
+	 * share
 	 */
 	public int flowCount() {
 		return this.flows.size();
 	}
 
-	private Map.@Nullable Entry<Integer, Level<T>> lowerTurn() {
-		if (this.levels.size() < 2 || this.starts % LOWER_EVERY != LOWER_EVERY - 1) {
+	private Map.@Nullable Entry<Integer, Level<T>> preferredLowerLevel() {
+		if (this.levels.size() < 2 || this.dispatchCount % LOWER_LEVEL_INTERVAL != LOWER_LEVEL_INTERVAL - 1) {
 			return null;
 		}
 		Map.Entry<Integer, Level<T>> first = null;
-		for (Map.Entry<Integer, Level<T>> e : this.levels.tailMap(this.levels.firstKey(), false).entrySet()) {
-			if (first == null || BY_DUE.compare(e.getValue().byDue.first(), first.getValue().byDue.first()) < 0) {
-				first = e;
+		for (Map.Entry<Integer, Level<T>> entry : this.levels.tailMap(this.levels.firstKey(), false).entrySet()) {
+			if (first == null || BY_DUE_TIME.compare(entry.getValue().byDueTime.first(),
+					first.getValue().byDueTime.first()) < 0) {
+				first = entry;
 			}
 		}
 		return first;
 	}
 
-	private TreeSet<Flow<T>> flows(int priority) {
-		return this.levels.computeIfAbsent(priority, (p) -> new Level<>()).flows;
+	private TreeSet<Flow<T>> flowsAt(int priority) {
+		return this.levels.computeIfAbsent(priority, (key) -> new Level<>()).flows;
 	}
 
-	private double leastBacklogged() {
-		double least = Double.MAX_VALUE;
+	private double minBackloggedVirtualTime() {
+		double min = Double.MAX_VALUE;
 		for (Level<T> level : this.levels.values()) {
-			least = Math.min(least, level.flows.first().virtual);
+			min = Math.min(min, level.flows.first().virtualTime);
 		}
-		return least;
+		return min;
 	}
 
-	private void forgetIfIdle(Flow<T> f) {
-		if (f.size == 0 && f.virtual <= this.virtual) {
-			this.flows.remove(f.name);
+	private void removeIfIdle(Flow<T> flow) {
+		if (flow.size == 0 && flow.virtualTime <= this.virtualTime) {
+			this.flows.remove(flow.name);
 		}
 	}
 
 	/**
-	 * Something that waits.
+	 * An item of the queue.
 	 */
 	public interface Item {
 
 		/**
-		 * Returns whose share it is charged to.
+		 * Returns the flow that is charged for this item.
 		 * @return the name of the flow, usually the customer
 		 */
 		String flow();
 
 		/**
-		 * Returns the level; a smaller number goes first.
+		 * Returns the priority level; a smaller number is served first.
 		 * @return the priority
 		 */
 		int priority();
 
 		/**
-		 * Returns when it has to have started; fixed while the item waits.
+		 * Returns the due time of this item, which must not change while the item is
+		 * queued.
 		 * @return the time in milliseconds
 		 */
 		long dueAt();
 
 		/**
-		 * Returns a number that no other item has.
+		 * Returns a number that is unique among all items.
 		 * @return the number
 		 */
 		long sequence();
@@ -265,51 +271,51 @@
 
 		private final TreeMap<Integer, TreeSet<T>> byLevel = new TreeMap<>();
 
-		private double virtual;
+		private double virtualTime;
 
 		private int size;
 
-		Flow(String name, double virtual) {
+		Flow(String name, double virtualTime) {
 			this.name = name;
-			this.virtual = virtual;
+			this.virtualTime = virtualTime;
 		}
 
 	}
 
 	private static final class Level<T extends Item> {
 
-		private final TreeSet<Flow<T>> flows = new TreeSet<>(BY_VIRTUAL);
+		private final TreeSet<Flow<T>> flows = new TreeSet<>(BY_VIRTUAL_TIME);
 
-		private final TreeSet<T> byDue = new TreeSet<>(BY_DUE);
+		private final TreeSet<T> byDueTime = new TreeSet<>(BY_DUE_TIME);
 
 	}
 
-	private static final class Offer<T extends Item> {
+	private static final class Scan<T extends Item> {
 
-		private final Predicate<T> taken;
+		private final Predicate<T> accept;
 
-		private int left;
+		private int remaining;
 
-		private @Nullable T chosen;
+		private @Nullable T selected;
 
-		Offer(int most, Predicate<T> taken) {
-			this.left = most;
-			this.taken = taken;
+		Scan(int maxCandidates, Predicate<T> accept) {
+			this.remaining = maxCandidates;
+			this.accept = accept;
 		}
 
-		boolean done() {
-			return this.chosen != null || this.left <= 0;
+		boolean isDone() {
+			return this.selected != null || this.remaining <= 0;
 		}
 
-		void level(int priority, Level<T> level) {
-			for (Flow<T> f : level.flows) {
-				for (T item : f.byLevel.getOrDefault(priority, new TreeSet<>())) {
-					if (done()) {
+		void visit(int priority, Level<T> level) {
+			for (Flow<T> flow : level.flows) {
+				for (T item : flow.byLevel.getOrDefault(priority, new TreeSet<>())) {
+					if (isDone()) {
 						return;
 					}
-					this.left--;
-					if (this.taken.test(item)) {
-						this.chosen = item;
+					this.remaining--;
+					if (this.accept.test(item)) {
+						this.selected = item;
 					}
 				}
 			}
--- a/src/main/java/io/shallotspur/admission/TimerQueue.java
+++ b/src/main/java/io/shallotspur/admission/TimerQueue.java
@@ -7,51 +7,52 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The times at which requests need a look. A timer is not taken back when its request
- * moves on: whoever gets it checks whether there is still something to do. Those of ended
- * requests are dropped when they come to the front. Not thread-safe.
+ * Priority queue of the times at which requests have to be checked. Timers are not
+ * cancelled when the state of their request changes, so the caller of {@link #poll} has
+ * to check whether there is still something to do. Timers of completed requests are
+ * discarded when they reach the head of the queue. Not thread-safe.
  *
  * @param <T> the type of the requests
  */
 public final class TimerQueue<T> {
 
 	private final PriorityQueue<Timer<T>> queue = new PriorityQueue<>(
-			Comparator.<Timer<T>>comparingLong(Timer::at).thenComparingLong(Timer::order));
+			Comparator.<Timer<T>>comparingLong(Timer::dueAt).thenComparingLong(Timer::sequence));
 
-	private final Predicate<T> ended;
+	private final Predicate<T> completed;
 
-	private long order;
+	private long nextSequence;
 
 	/**
 	 * Creates an empty queue.
-	 * @param ended whether a request has ended, so that its timers count no more
+	 * @param completed whether a request is complete, so that its timers are discarded
 	 */
-	public TimerQueue(Predicate<T> ended) {
-		this.ended = ended;
+	public TimerQueue(Predicate<T> completed) {
+		this.completed = completed;
 	}
 
 	/**
 	 * Adds a timer.
 	 * @param item the request
-	 * @param at when it is due, in milliseconds
+	 * @param dueAt when the timer is due, in milliseconds
 	 */
-	public void add(T item, long at) {
-		this.queue.add(new Timer<>(at, this.order++, item));
+	public void add(T item, long dueAt) {
+		this.queue.add(new Timer<>(dueAt, this.nextSequence++, item));
 	}
 
 	/**
-	 * Takes the next timer that is due.
-	 * @param now the present time in milliseconds
-	 * @return its request, or {@code null} if none is due
+	 * Removes the next timer that is due.
+	 * @param now the current time in milliseconds
+	 * @return the request of the timer, or {@code null} if none is due
 	 */
 	public @Nullable T poll(long now) {
-		dropEnded();
-		Timer<T> t = this.queue.peek();
-		if (t == null || t.at() > now) {
+		discardCompleted();
+		Timer<T> timer = this.queue.peek();
+		if (timer == null || timer.dueAt() > now) {
 			return null;
 		}
 		this.queue.poll();
-		return t.item();
+		return timer.item();
 	}
 
 	/**
@@ -59,20 +60,20 @@
 	 * @return the time in milliseconds, or {@link Long#MAX_VALUE} if there is none
 	 */
 	public long nextDueAt() {
-		dropEnded();
-		Timer<T> t = this.queue.peek();
-		return (t != null) ? t.at() : Long.MAX_VALUE;
+		discardCompleted();
+		Timer<T> timer = this.queue.peek();
+		return (timer != null) ? timer.dueAt() : Long.MAX_VALUE;
 	}
 
-	private void dropEnded() {
-		Timer<T> t = this.queue.peek();
-		while (t != null && this.ended.test(t.item())) {
+	private void discardCompleted() {
+		Timer<T> timer = this.queue.peek();
+		while (timer != null && this.completed.test(timer.item())) {
 			this.queue.poll();
-			t = this.queue.peek();
+			timer = this.queue.peek();
 		}
 	}
 
-	private record Timer<T>(long at, long order, T item) {
+	private record Timer<T>(long dueAt, long sequence, T item) {
 
 	}
 
--- a/src/main/java/io/shallotspur/admission/package-info.java
+++ b/src/main/java/io/shallotspur/admission/package-info.java
@@ -1,6 +1,7 @@
 /**
- * What runs next: fair queueing between customers, retry budgets, and the split of a
- * customer's share over cells. Pure state; the present time is an argument.
+ * Request scheduling: fair queueing between customers, timers of pending requests, and
+ * the split of a customer's share over cells. The classes do no I/O and receive the
+ * current time as an argument.
  */
 @NullMarked
 package io.shallotspur.admission;
--- a/src/test/java/io/shallotspur/admission/FairQueueTests.java
+++ b/src/test/java/io/shallotspur/admission/FairQueueTests.java
@@ -11,85 +11,85 @@
 
 	private long sequence;
 
-	private final FairQueue<Entry> queue = new FairQueue<>((c) -> c.equals("a") ? 0.7 : 0.3);
+	private final FairQueue<Entry> queue = new FairQueue<>((customer) -> customer.equals("a") ? 0.7 : 0.3);
 
-	private Entry add(String customer, int priority, long due) {
-		Entry e = new Entry(customer, priority, due, ++this.sequence);
-		this.queue.add(e);
-		return e;
+	private Entry add(String customer, int priority, long dueAt) {
+		Entry entry = new Entry(customer, priority, dueAt, ++this.sequence);
+		this.queue.add(entry);
+		return entry;
 	}
 
-	private Entry next(double cost) {
-		Entry e = this.queue.findNext(10, (x) -> true);
-		assertThat(e).isNotNull();
-		this.queue.dispatch(e, cost);
-		return e;
+	private Entry dispatchNext(double cost) {
+		Entry entry = this.queue.findNext(10, (candidate) -> true);
+		assertThat(entry).isNotNull();
+		this.queue.dispatch(entry, cost);
+		return entry;
 	}
 
 	@Test
-	void customersWithABacklogGetTheirSharesOfEngineTime() {
-		Map<String, Double> used = new HashMap<>();
+	void backloggedCustomersGetTheirSharesOfEngineTime() {
+		Map<String, Double> usedMs = new HashMap<>();
 		for (int i = 0; i < 2000; i++) {
 			add("a", 1, i);
 			add("b", 1, i);
 		}
 		for (int i = 0; i < 1000; i++) {
 			double cost = 100 + (i * 37) % 900;
-			Entry e = next(cost);
-			used.merge(e.flow(), cost, Double::sum);
+			Entry entry = dispatchNext(cost);
+			usedMs.merge(entry.flow(), cost, Double::sum);
 		}
-		double all = used.get("a") + used.get("b");
-		assertThat(used.get("a") / all).isBetween(0.7 * 0.95, 0.7 * 1.05);
-		assertThat(used.get("b") / all).isBetween(0.3 * 0.95, 0.3 * 1.05);
+		double total = usedMs.get("a") + usedMs.get("b");
+		assertThat(usedMs.get("a") / total).isBetween(0.7 * 0.95, 0.7 * 1.05);
+		assertThat(usedMs.get("b") / total).isBetween(0.3 * 0.95, 0.3 * 1.05);
 	}
 
 	@Test
-	void customerThatWasIdleHasNoClaimFromIt() {
+	void idleCustomerAccumulatesNoCredit() {
 		for (int i = 0; i < 50; i++) {
 			add("a", 1, i);
 		}
 		for (int i = 0; i < 20; i++) {
-			next(100);
+			dispatchNext(100);
 		}
 		for (int i = 0; i < 20; i++) {
 			add("b", 1, i);
 		}
-		int ofB = 0;
+		int dispatchedOfB = 0;
 		for (int i = 0; i < 20; i++) {
-			ofB += next(100).flow().equals("b") ? 1 : 0;
+			dispatchedOfB += dispatchNext(100).flow().equals("b") ? 1 : 0;
 		}
-		assertThat(ofB).isBetween(5, 7);
+		assertThat(dispatchedOfB).isBetween(5, 7);
 	}
 
 	@Test
-	void withinACustomerTheOneDueFirstGoesFirst() {
+	void itemsOfACustomerAreDispatchedInOrderOfDueTime() {
 		add("a", 1, 30);
 		add("a", 1, 10);
 		add("a", 1, 20);
-		assertThat(next(1).dueAt()).isEqualTo(10);
-		assertThat(next(1).dueAt()).isEqualTo(20);
+		assertThat(dispatchNext(1).dueAt()).isEqualTo(10);
+		assertThat(dispatchNext(1).dueAt()).isEqualTo(20);
 	}
 
 	@Test
-	void urgentGoFirstButLowerOnesAreNotStarved() {
-		// An urgent class never stops coming. Requests of a lower class would wait past
-		// their deadlines for ever; one start in eight is theirs.
+	void higherLevelDoesNotStarveLowerLevel() {
+		// With a permanent backlog at a higher level, requests of a lower level would
+		// always miss their deadlines. One dispatch in eight is reserved for them.
 		for (int i = 0; i < 100; i++) {
 			add("a", 1, i);
 			add("b", 3, i);
 		}
-		int lower = 0;
+		int lowerDispatched = 0;
 		for (int i = 0; i < 80; i++) {
-			lower += (next(1).priority() == 3) ? 1 : 0;
+			lowerDispatched += (dispatchNext(1).priority() == 3) ? 1 : 0;
 		}
-		assertThat(lower).isEqualTo(10);
+		assertThat(lowerDispatched).isEqualTo(10);
 	}
 
 	@Test
-	void forgetsCustomersThatOweNothing() {
+	void removesIdleCustomersWithoutOutstandingCharges() {
 		for (int i = 0; i < 1000; i++) {
-			Entry e = add("c" + i, 1, i);
-			this.queue.dispatch(e, 10);
+			Entry entry = add("c" + i, 1, i);
+			this.queue.dispatch(entry, 10);
 			this.queue.charge("c" + i, -10);
 		}
 		assertThat(this.queue.flowCount()).isLessThan(5);
