--- a/src/main/java/io/shallotspur/retry/Backoff.java
+++ b/src/main/java/io/shallotspur/retry/Backoff.java
@@ -4,49 +4,49 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Exponential backoff with full jitter: the wait is drawn evenly between nothing and a
- * ceiling that doubles with each attempt, so that callers who failed together do not come
- * back together. Immutable and thread-safe.
+ * Exponential backoff with full jitter: the delay is uniformly distributed between zero
+ * and a ceiling that doubles with each retry, so that callers that failed at the same
+ * time do not retry at the same time. Immutable and thread-safe.
  *
- * @param baseMs the ceiling before the first retry, in milliseconds
- * @param capMs the highest ceiling, in milliseconds
+ * @param baseMs the ceiling for the first retry, in milliseconds
+ * @param capMs the maximum ceiling, in milliseconds
  */
 public record Backoff(long baseMs, long capMs) {
 
 	/**
-	 * Ceilings of 20 ms, 40 ms and so on up to 1 s.
+	 * Backoff with ceilings of 20 ms, 40 ms and so on up to 1 s.
 	 */
 	public static final Backoff DEFAULT = new Backoff(20, 1_000);
 
 	private static final int MAX_SHIFT = 30;
 
 	/**
-	 * Draws the wait before a retry.
-	 * @param retry the number of the retry, from 1
-	 * @param rnd the source of randomness
-	 * @return the wait in milliseconds
+	 * Returns a random delay before a retry.
+	 * @param retry the number of the retry, starting at 1
+	 * @param random the source of randomness
+	 * @return the delay in milliseconds
 	 */
-	public long delay(int retry, RandomGenerator rnd) {
+	public long delay(int retry, RandomGenerator random) {
 		int shift = Math.min(MAX_SHIFT, Math.max(0, retry - 1));
 		long ceiling = Math.min(this.capMs, this.baseMs << shift);
-		return rnd.nextLong(ceiling + 1);
+		return random.nextLong(ceiling + 1);
 	}
 
 	/**
-	 * Draws the wait before a retry that has to finish by a deadline.
-	 * @param retry the number of the retry, from 1
-	 * @param now the present time in milliseconds
-	 * @param deadlineAt when the answer is of no more use, in milliseconds
-	 * @param runMs how long a run is expected to take, in milliseconds
-	 * @param rnd the source of randomness
-	 * @return the wait in milliseconds, or empty if a retry would come too late
+	 * Returns a random delay before a retry that has to complete by a deadline.
+	 * @param retry the number of the retry, starting at 1
+	 * @param now the current time in milliseconds
+	 * @param deadline the time after which the response is useless, in milliseconds
+	 * @param expectedRunMs the expected duration of the retried request, in milliseconds
+	 * @param random the source of randomness
+	 * @return the delay in milliseconds, or empty if a retry would miss the deadline
 	 */
-	public OptionalLong delayWithin(int retry, long now, long deadlineAt, long runMs, RandomGenerator rnd) {
-		long room = deadlineAt - now - runMs;
-		if (room < 0) {
+	public OptionalLong delayWithin(int retry, long now, long deadline, long expectedRunMs, RandomGenerator random) {
+		long maxDelay = deadline - now - expectedRunMs;
+		if (maxDelay < 0) {
 			return OptionalLong.empty();
 		}
-		return OptionalLong.of(Math.min(delay(retry, rnd), room));
+		return OptionalLong.of(Math.min(delay(retry, random), maxDelay));
 	}
 
 }
--- a/src/main/java/io/shallotspur/retry/OutlierDetectionSettings.java
+++ b/src/main/java/io/shallotspur/retry/OutlierDetectionSettings.java
@@ -1,26 +1,29 @@
 package io.shallotspur.retry;
 
 /**
- * When a worker is left out. Immutable.
+ * Settings of the outlier detection. Immutable.
  *
- * @param consecutiveFailures failures in a row that eject a worker
- * @param latencyFactor a worker whose mean latency is over this many times the median of
- * its fellows is ejected; 0 to leave latency out
- * @param minSamples answers needed before the latency of a worker counts
- * @param maxShare the largest share of the workers ejected at a time; at least one worker
- * of two or more may be
- * @param baseEjectMs how long the first ejection lasts, in milliseconds; it doubles with
- * each one that follows
- * @param maxEjectMs how long an ejection lasts at most, in milliseconds
- * @param probeSuccesses answers in a row that bring a worker back
+ * @param consecutiveFailures number of consecutive failures after which a worker is
+ * ejected
+ * @param latencyFactor a worker is ejected if its mean latency exceeds the median of the
+ * other workers multiplied by this factor; 0 to ignore latency
+ * @param minSamples number of responses after which the latency of a worker is considered
+ * @param maxEjectedFraction maximum fraction of the workers that may be ejected at the
+ * same time; of two or more workers, one may always be ejected
+ * @param baseEjectionMs duration of the first ejection, in milliseconds; it doubles with
+ * each subsequent ejection
+ * @param maxEjectionMs maximum duration of an ejection, in milliseconds
+ * @param probeSuccesses number of consecutive successful probes after which a worker is
+ * restored
  */
-public record OutlierDetectionSettings(int consecutiveFailures, double latencyFactor, int minSamples, double maxShare,
-		long baseEjectMs, long maxEjectMs, int probeSuccesses) {
+public record OutlierDetectionSettings(int consecutiveFailures, double latencyFactor, int minSamples,
+		double maxEjectedFraction, long baseEjectionMs, long maxEjectionMs, int probeSuccesses) {
 
 	/**
-	 * Three failures or eight times the median latency; at most half of the workers; from
-	 * one second up to thirty.
+	 * Ejects a worker after three failures or at eight times the median latency, for one
+	 * to thirty seconds, and at most half of the workers.
 	 */
-	public static final OutlierDetectionSettings DEFAULT = new OutlierDetectionSettings(3, 8, 20, 0.5, 1_000, 30_000, 2);
+	public static final OutlierDetectionSettings DEFAULT = new OutlierDetectionSettings(3, 8, 20, 0.5, 1_000, 30_000,
+			2);
 
 }
--- a/src/main/java/io/shallotspur/retry/OutlierDetector.java
+++ b/src/main/java/io/shallotspur/retry/OutlierDetector.java
@@ -5,29 +5,31 @@
 import java.util.Map;
 
 /**
- * Leaves out the workers of one upstream that fail or lag, and probes them back in.
+ * Ejects failing or slow workers of one upstream and restores them after successful
+ * probes.
  * <p>
- * A worker that refuses or loses its calls quickly looks idle and draws ever more of
- * them; its callers see errors although its fellows are well. After some failures in a
- * row it is ejected for a time that doubles, then given one call at a time until it
- * answers. If most of the workers fail, the cause is elsewhere and ejecting them would
- * leave the rest to drown, so the share ejected is capped.
+ * A worker that rejects or loses its calls quickly appears idle and attracts more and
+ * more of them, so callers see errors although the other workers are healthy. After
+ * several consecutive failures a worker is ejected for a duration that doubles each time,
+ * then probed with one call at a time until enough probes succeed. If most workers fail,
+ * the cause lies elsewhere and ejections would overload the remaining workers. Therefore
+ * the fraction of ejected workers is limited.
  * <p>
- * Invariant: of {@code n} workers at most {@code max(1, floor(maxShare * n))} are ejected
- * or probed, and none of a single one. Not thread-safe.
+ * Invariant: of {@code n} workers at most {@code max(1, floor(maxEjectedFraction * n))}
+ * are ejected or being probed; a single worker is never ejected. Not thread-safe.
  */
 public final class OutlierDetector {
 
-	private static final double LATENCY_WEIGHT = 0.1;
+	private static final double LATENCY_SMOOTHING_FACTOR = 0.1;
 
 	private static final int MAX_DOUBLINGS = 20;
 
-	private final OutlierDetectionSettings limits;
+	private final OutlierDetectionSettings settings;
 
-	private final Map<String, Stats> workers = new LinkedHashMap<>();
+	private final Map<String, WorkerStats> workers = new LinkedHashMap<>();
 
 	/**
-	 * Creates a detector with the default limits.
+	 * Creates a detector with the default settings.
 	 */
 	public OutlierDetector() {
 		this(OutlierDetectionSettings.DEFAULT);
@@ -35,22 +37,22 @@
 
 	/**
 	 * Creates a detector.
-	 * @param limits when a worker is left out
+	 * @param settings the settings
 	 */
-	public OutlierDetector(OutlierDetectionSettings limits) {
-		this.limits = limits;
+	public OutlierDetector(OutlierDetectionSettings settings) {
+		this.settings = settings;
 	}
 
 	/**
-	 * Adds a worker, or starts afresh with one that came back.
+	 * Adds a worker, or resets the state of a worker that has restarted.
 	 * @param worker the worker
 	 */
 	public void addWorker(String worker) {
-		this.workers.put(worker, new Stats());
+		this.workers.put(worker, new WorkerStats());
 	}
 
 	/**
-	 * Forgets a worker.
+	 * Removes a worker.
 	 * @param worker the worker
 	 */
 	public void removeWorker(String worker) {
@@ -58,163 +60,164 @@
 	}
 
 	/**
-	 * Tells whether a worker is to be given calls.
+	 * Returns whether a worker may receive calls.
 	 * @param worker the worker
-	 * @param now the present time in milliseconds
-	 * @return its health; {@link WorkerHealth#HEALTHY} for one that was never added
+	 * @param now the current time in milliseconds
+	 * @return its health; {@link WorkerHealth#HEALTHY} for an unknown worker
 	 */
 	public WorkerHealth health(String worker, long now) {
-		Stats s = this.workers.get(worker);
-		if (s == null || !s.ejected) {
+		WorkerStats stats = this.workers.get(worker);
+		if (stats == null || !stats.ejected) {
 			return WorkerHealth.HEALTHY;
 		}
-		return (now >= s.retryAt) ? WorkerHealth.PROBE : WorkerHealth.EJECTED;
+		return (now >= stats.nextProbeAt) ? WorkerHealth.PROBE : WorkerHealth.EJECTED;
 	}
 
 	/**
-	 * Takes the start of a call. A call to a worker that is to be probed is the probe: no
-	 * other is wanted until it ends, or for as long as an ejection if its end is never
-	 * told.
+	 * Records the start of a call. A call to a worker that is due for a probe becomes the
+	 * probe. No other call is allowed until it ends, or for the duration of an ejection
+	 * if its end is never recorded.
 	 * @param worker the worker
-	 * @param now the present time in milliseconds
+	 * @param now the current time in milliseconds
 	 */
 	public void recordStart(String worker, long now) {
-		Stats s = this.workers.get(worker);
-		if (s != null && s.ejected && now >= s.retryAt) {
-			s.retryAt = now + ejectMs(s);
-			s.probing = true;
+		WorkerStats stats = this.workers.get(worker);
+		if (stats != null && stats.ejected && now >= stats.nextProbeAt) {
+			stats.nextProbeAt = now + ejectionMs(stats);
+			stats.probing = true;
 		}
 	}
 
 	/**
-	 * Takes an answer.
+	 * Records a response.
 	 * @param worker the worker
-	 * @param latencyMs how long it took, in milliseconds
-	 * @param now the present time in milliseconds
+	 * @param latencyMs the latency of the call in milliseconds
+	 * @param now the current time in milliseconds
 	 */
 	public void recordSuccess(String worker, double latencyMs, long now) {
-		Stats s = this.workers.get(worker);
-		if (s == null) {
+		WorkerStats stats = this.workers.get(worker);
+		if (stats == null) {
 			return;
 		}
-		if (s.ejected) {
-			probeAnswered(s, latencyMs, now);
+		if (stats.ejected) {
+			recordProbeResponse(stats, latencyMs, now);
 			return;
 		}
-		s.failures = 0;
-		s.observe(latencyMs);
-		if (s.samples >= this.limits.minSamples() && isSlow(s, s.latency)) {
-			eject(s, now);
+		stats.consecutiveFailures = 0;
+		stats.observeLatency(latencyMs);
+		if (stats.samples >= this.settings.minSamples() && isSlow(stats, stats.meanLatencyMs)) {
+			eject(stats, now);
 		}
 	}
 
 	/**
-	 * Takes a failure that is the worker's own: a refusal of the call, a lost connection
-	 * or a timeout.
+	 * Records a failure caused by the worker: a rejected call, a lost connection or a
+	 * timeout.
 	 * @param worker the worker
-	 * @param now the present time in milliseconds
+	 * @param now the current time in milliseconds
 	 */
 	public void recordFailure(String worker, long now) {
-		Stats s = this.workers.get(worker);
-		if (s == null) {
+		WorkerStats stats = this.workers.get(worker);
+		if (stats == null) {
 			return;
 		}
-		s.failures++;
-		s.probes = 0;
-		if (s.ejected && s.probing) {
-			s.probing = false;
-			s.ejections++;
-			s.retryAt = now + ejectMs(s);
+		stats.consecutiveFailures++;
+		stats.probeSuccesses = 0;
+		if (stats.ejected && stats.probing) {
+			stats.probing = false;
+			stats.ejections++;
+			stats.nextProbeAt = now + ejectionMs(stats);
 		}
-		else if (!s.ejected && s.failures >= this.limits.consecutiveFailures()) {
-			eject(s, now);
+		else if (!stats.ejected && stats.consecutiveFailures >= this.settings.consecutiveFailures()) {
+			eject(stats, now);
 		}
 	}
 
 	/**
-	 * Counts the workers that are left out or probed.
+	 * Returns the number of workers that are ejected or being probed.
 	 * @return the number of workers
 	 */
 	public int ejectedCount() {
-		return (int) this.workers.values().stream().filter((s) -> s.ejected).count();
+		return (int) this.workers.values().stream().filter((stats) -> stats.ejected).count();
 	}
 
-	private void probeAnswered(Stats s, double latencyMs, long now) {
-		// Calls sent before the ejection still come to an end. Were their answers taken
-		// for probes, a slow worker would be back at once and its callers would wait.
-		if (!s.probing) {
+	private void recordProbeResponse(WorkerStats stats, double latencyMs, long now) {
+		// Calls sent before the ejection may still complete. If they counted as probes, a
+		// slow worker would be restored immediately and its callers would have to wait.
+		if (!stats.probing) {
 			return;
 		}
-		s.probing = false;
-		if (isSlow(s, latencyMs)) {
-			s.ejections++;
-			s.retryAt = now + ejectMs(s);
+		stats.probing = false;
+		if (isSlow(stats, latencyMs)) {
+			stats.ejections++;
+			stats.nextProbeAt = now + ejectionMs(stats);
 			return;
 		}
-		s.failures = 0;
-		s.probes++;
-		s.retryAt = now;
-		if (s.probes >= this.limits.probeSuccesses()) {
-			s.ejected = false;
-			s.ejections = Math.max(0, s.ejections - 1);
-			s.samples = 0;
+		stats.consecutiveFailures = 0;
+		stats.probeSuccesses++;
+		stats.nextProbeAt = now;
+		if (stats.probeSuccesses >= this.settings.probeSuccesses()) {
+			stats.ejected = false;
+			stats.ejections = Math.max(0, stats.ejections - 1);
+			stats.samples = 0;
 		}
 	}
 
-	private void eject(Stats s, long now) {
-		int n = this.workers.size();
-		int most = (n < 2) ? 0 : Math.max(1, (int) (this.limits.maxShare() * n));
-		if (ejectedCount() >= most) {
+	private void eject(WorkerStats stats, long now) {
+		int workerCount = this.workers.size();
+		int maxEjected = (workerCount < 2) ? 0 : Math.max(1, (int) (this.settings.maxEjectedFraction() * workerCount));
+		if (ejectedCount() >= maxEjected) {
 			return;
 		}
-		s.ejected = true;
-		s.ejections++;
-		s.probes = 0;
-		s.probing = false;
-		s.retryAt = now + ejectMs(s);
+		stats.ejected = true;
+		stats.ejections++;
+		stats.probeSuccesses = 0;
+		stats.probing = false;
+		stats.nextProbeAt = now + ejectionMs(stats);
 	}
 
-	private long ejectMs(Stats s) {
-		int doublings = Math.min(MAX_DOUBLINGS, Math.max(0, s.ejections - 1));
-		return Math.min(this.limits.maxEjectMs(), this.limits.baseEjectMs() << doublings);
+	private long ejectionMs(WorkerStats stats) {
+		int doublings = Math.min(MAX_DOUBLINGS, Math.max(0, stats.ejections - 1));
+		return Math.min(this.settings.maxEjectionMs(), this.settings.baseEjectionMs() << doublings);
 	}
 
-	private boolean isSlow(Stats s, double latencyMs) {
-		if (this.limits.latencyFactor() <= 0) {
+	private boolean isSlow(WorkerStats stats, double latencyMs) {
+		if (this.settings.latencyFactor() <= 0) {
 			return false;
 		}
-		double[] others = this.workers.values()
+		double[] otherLatencies = this.workers.values()
 			.stream()
-			.filter((o) -> o != s && !o.ejected && o.samples >= this.limits.minSamples())
-			.mapToDouble((o) -> o.latency)
+			.filter((other) -> other != stats && !other.ejected && other.samples >= this.settings.minSamples())
+			.mapToDouble((other) -> other.meanLatencyMs)
 			.toArray();
-		if (others.length == 0) {
+		if (otherLatencies.length == 0) {
 			return false;
 		}
-		Arrays.sort(others);
-		return latencyMs > this.limits.latencyFactor() * others[others.length / 2];
+		Arrays.sort(otherLatencies);
+		return latencyMs > this.settings.latencyFactor() * otherLatencies[otherLatencies.length / 2];
 	}
 
-	private static final class Stats {
+	private static final class WorkerStats {
 
-		private int failures;
+		private int consecutiveFailures;
 
 		private int samples;
 
-		private double latency;
+		private double meanLatencyMs;
 
 		private boolean ejected;
 
 		private int ejections;
 
-		private int probes;
+		private int probeSuccesses;
 
 		private boolean probing;
 
-		private long retryAt;
+		private long nextProbeAt;
 
-		private void observe(double latencyMs) {
-			this.latency = (this.samples == 0) ? latencyMs : this.latency + LATENCY_WEIGHT * (latencyMs - this.latency);
+		private void observeLatency(double latencyMs) {
+			this.meanLatencyMs = (this.samples == 0) ? latencyMs
+					: this.meanLatencyMs + LATENCY_SMOOTHING_FACTOR * (latencyMs - this.meanLatencyMs);
 			this.samples++;
 		}
 
--- a/src/main/java/io/shallotspur/retry/RetryBudget.java
+++ b/src/main/java/io/shallotspur/retry/RetryBudget.java
@@ -4,25 +4,25 @@
 import java.util.Map;
 
 /**
- * Bounds the retries of each customer to a part of its first tries.
+ * Limits the retries of each customer to a fraction of its first attempts.
  * <p>
- * Without a bound, each failing worker turns one call into several, and the healthy
- * workers drown in the repetitions of the calls that the failing ones lost.
+ * Without a limit, each failing worker turns one call into several, and the retries of
+ * lost calls overload the healthy workers.
  * <p>
- * Invariant: in the window, counted with decay, retries are at most the larger of the
- * floor and the ratio times the first tries. Both counts decay alike, so over any time in
- * which the ratio gives more than the floor, calls sent are at most {@code 1 + ratio}
- * times the first tries. Thread-safe: each method holds the monitor of this object for a
- * short time.
+ * Invariant: both counts decay exponentially, and within the window the number of retries
+ * is at most the larger of the guaranteed minimum and the ratio times the number of first
+ * attempts. Both counts decay at the same rate, so over any period in which the ratio
+ * allows more than the minimum, the calls sent are at most {@code 1 + ratio} times the
+ * first attempts. Thread-safe: each method briefly holds the monitor of this object.
  */
 public final class RetryBudget {
 
-	private final RetryBudgetSettings limits;
+	private final RetryBudgetSettings settings;
 
-	private final Map<String, Tries> byCustomer = new LinkedHashMap<>(16, 0.75f, true);
+	private final Map<String, AttemptCounts> byCustomer = new LinkedHashMap<>(16, 0.75f, true);
 
 	/**
-	 * Creates a budget with the default limits.
+	 * Creates a budget with the default settings.
 	 */
 	public RetryBudget() {
 		this(RetryBudgetSettings.DEFAULT);
@@ -30,72 +30,72 @@
 
 	/**
 	 * Creates a budget.
-	 * @param limits its bounds
+	 * @param settings the settings
 	 */
-	public RetryBudget(RetryBudgetSettings limits) {
-		this.limits = limits;
+	public RetryBudget(RetryBudgetSettings settings) {
+		this.settings = settings;
 	}
 
 	/**
-	 * Counts a first try.
+	 * Records the first attempt of a call.
 	 * @param customer the customer
-	 * @param now the present time in milliseconds
+	 * @param now the current time in milliseconds
 	 */
 	public synchronized void recordFirstAttempt(String customer, long now) {
-		tries(customer, now).first += 1;
+		counts(customer, now).firstAttempts += 1;
 	}
 
 	/**
-	 * Takes a retry out of the budget.
+	 * Takes a retry from the budget if it allows one.
 	 * @param customer the customer
-	 * @param now the present time in milliseconds
-	 * @return whether the call may be tried again
+	 * @param now the current time in milliseconds
+	 * @return whether the call may be retried
 	 */
 	public synchronized boolean tryRetry(String customer, long now) {
-		Tries t = tries(customer, now);
-		double most = Math.max(this.limits.floor(), this.limits.ratio() * t.first);
-		if (t.retries + 1 > most) {
+		AttemptCounts counts = counts(customer, now);
+		double maxRetries = Math.max(this.settings.minRetries(), this.settings.ratio() * counts.firstAttempts);
+		if (counts.retries + 1 > maxRetries) {
 			return false;
 		}
-		t.retries += 1;
+		counts.retries += 1;
 		return true;
 	}
 
-	private Tries tries(String customer, long now) {
-		Tries t = this.byCustomer.get(customer);
-		if (t == null) {
-			t = new Tries(now);
-			this.byCustomer.put(customer, t);
-			bound();
+	private AttemptCounts counts(String customer, long now) {
+		AttemptCounts counts = this.byCustomer.get(customer);
+		if (counts == null) {
+			counts = new AttemptCounts(now);
+			this.byCustomer.put(customer, counts);
+			evictIfFull();
 		}
-		t.decay(now, this.limits.windowMs());
-		return t;
+		counts.decay(now, this.settings.windowMs());
+		return counts;
 	}
 
-	private void bound() {
-		if (this.byCustomer.size() > this.limits.maxCustomers()) {
+	private void evictIfFull() {
+		if (this.byCustomer.size() > this.settings.maxCustomers()) {
 			this.byCustomer.remove(this.byCustomer.keySet().iterator().next());
 		}
 	}
 
-	private static final class Tries {
+	private static final class AttemptCounts {
 
-		private double first;
+		private double firstAttempts;
 
 		private double retries;
 
-		private long at;
+		private long updatedAt;
 
-		private Tries(long at) {
-			this.at = at;
+		private AttemptCounts(long updatedAt) {
+			this.updatedAt = updatedAt;
 		}
 
 		private void decay(long now, long windowMs) {
-			if (now > this.at) {
-				double f = Math.exp(-(double) (now - this.at) / windowMs);
-				this.first *= f;
-				this.retries *= f;
-				this.at = now;
+			if (now > this.updatedAt) {
+				double factor = Math.exp(-(double) (now - this.updatedAt) / windowMs);
+				this.firstAttempts *= factor;
+				this.retries *= factor;
+				this.updatedAt = now;
 			}
 		}
 
--- a/src/main/java/io/shallotspur/retry/WorkerHealth.java
+++ b/src/main/java/io/shallotspur/retry/WorkerHealth.java
@@ -1,22 +1,22 @@
 package io.shallotspur.retry;
 
 /**
- * Whether a worker is to be given calls.
+ * Whether a worker may receive calls.
  */
 public enum WorkerHealth {
 
 	/**
-	 * Gets calls.
+	 * The worker may receive calls.
 	 */
 	HEALTHY,
 
 	/**
-	 * May be given one call, which shows whether it is well again.
+	 * The worker may receive one call, which probes whether it has recovered.
 	 */
 	PROBE,
 
 	/**
-	 * Gets no calls.
+	 * The worker must not receive calls.
 	 */
 	EJECTED
 
--- a/src/main/java/io/shallotspur/retry/package-info.java
+++ b/src/main/java/io/shallotspur/retry/package-info.java
@@ -1,6 +1,6 @@
 /**
- * When a failed call may be tried again, how long to wait, and which workers to leave out
- * meanwhile.
+ * Retry policy: whether a failed call may be retried, how long to back off, and which
+ * workers are ejected in the meantime.
  */
 @NullMarked
 package io.shallotspur.retry;
