--- a/src/main/java/io/shallotspur/routing/Cell.java
+++ b/src/main/java/io/shallotspur/routing/Cell.java
@@ -5,12 +5,13 @@
 import io.shallotspur.fleet.Worker;
 
 /**
- * Workers of one upstream that one entry VM admits work to. Immutable.
+ * A group of workers of one upstream whose admission control runs on one entry VM.
+ * Immutable.
  *
- * @param id unique within the deployment, the same on all nodes that know the same
- * workers
+ * @param id unique identifier within the deployment, the same on all nodes that know the
+ * same workers
  * @param upstream the upstream
- * @param workers its workers, prefill and decode, by identifier
+ * @param workers the prefill and decode workers, ordered by identifier
  */
 public record Cell(String id, String upstream, List<Worker> workers) {
 
--- a/src/main/java/io/shallotspur/routing/CellLayout.java
+++ b/src/main/java/io/shallotspur/routing/CellLayout.java
@@ -16,21 +16,22 @@
 import io.shallotspur.fleet.WorkerRole;
 
 /**
- * Divides the model workers of a deployment into cells. Immutable and freely shared.
+ * Partition of the model workers of a deployment into cells. Immutable and thread-safe.
  * <p>
- * Every node that knows the same workers makes the same plan, without a message. A cell
- * keeps within a hall where the hall has enough workers of both roles; smaller halls are
- * pooled, because a cell of two or three workers wastes what a larger one shares, and a
- * hall without one of the roles borrows from the hall that has most of it.
+ * All nodes that know the same workers compute the same layout without communication. A
+ * cell stays within a hall if the hall has enough workers of both roles. Smaller halls
+ * are pooled, because a cell of two or three workers makes poorer use of shared capacity
+ * than a larger one. If the pool lacks one of the roles, it joins the hall that has the
+ * most workers of that role.
  * <p>
- * Invariants: no cell has more than {@link #MAX_WORKERS}; each has both roles; no worker
- * is in two cells. When a worker comes or goes, the others keep their cells, but for
- * those that a changed number of cells moves.
+ * Invariants: no cell has more than {@link #MAX_WORKERS} workers; each cell has both
+ * roles; no worker is in two cells. When a worker is added or removed, the others stay in
+ * their cells, except for those that move because the number of cells changes.
  */
 public final class CellLayout {
 
 	/**
-	 * The most workers of a cell.
+	 * The maximum number of workers in a cell.
 	 */
 	public static final int MAX_WORKERS = 16;
 
@@ -38,7 +39,7 @@
 
 	private static final int TARGET_WORKERS = 12;
 
-	private static final int POINTS_PER_CELL = 16;
+	private static final int RING_POINTS_PER_CELL = 16;
 
 	private static final LongHashFunction HASH = LongHashFunction.xx3();
 
@@ -48,49 +49,51 @@
 
 	private final List<Worker> unassignedWorkers;
 
-	private final Map<String, Ring> rings = new HashMap<>();
+	private final Map<String, HashRing> rings = new HashMap<>();
 
-	private CellLayout(List<Cell> cells, List<Worker> spare) {
+	private CellLayout(List<Cell> cells, List<Worker> unassignedWorkers) {
 		this.cells = List.copyOf(cells);
-		this.unassignedWorkers = List.copyOf(spare);
+		this.unassignedWorkers = List.copyOf(unassignedWorkers);
 		Map<String, List<Cell>> byUpstream = new TreeMap<>();
-		for (Cell c : cells) {
-			c.workers().forEach((w) -> this.byWorker.put(w.id(), c));
-			byUpstream.computeIfAbsent(c.upstream(), (u) -> new ArrayList<>()).add(c);
+		for (Cell cell : cells) {
+			cell.workers().forEach((worker) -> this.byWorker.put(worker.id(), cell));
+			byUpstream.computeIfAbsent(cell.upstream(), (key) -> new ArrayList<>()).add(cell);
 		}
-		byUpstream.forEach((u, l) -> this.rings.put(u, new Ring(l)));
+		byUpstream.forEach((upstream, upstreamCells) -> this.rings.put(upstream, new HashRing(upstreamCells)));
 	}
 
 	/**
-	 * Makes the plan.
-	 * @param workers all workers; plain ones are left out
-	 * @return the plan
+	 * Computes the layout.
+	 * @param workers all workers; plain ones are ignored
+	 * @return the layout
 	 */
 	public static CellLayout of(Collection<Worker> workers) {
 		Map<String, List<Worker>> byUpstream = new TreeMap<>();
-		for (Worker w : workers) {
-			if (w.role() != WorkerRole.PLAIN) {
-				byUpstream.computeIfAbsent(w.upstream(), (u) -> new ArrayList<>()).add(w);
+		for (Worker worker : workers) {
+			if (worker.role() != WorkerRole.PLAIN) {
+				byUpstream.computeIfAbsent(worker.upstream(), (key) -> new ArrayList<>()).add(worker);
 			}
 		}
 		List<Cell> cells = new ArrayList<>();
-		List<Worker> spare = new ArrayList<>();
-		for (Map.Entry<String, List<Worker>> e : byUpstream.entrySet()) {
-			groups(e.getValue()).forEach((hall, l) -> new CellFill(e.getKey(), hall, l).fill(cells, spare));
+		List<Worker> unassignedWorkers = new ArrayList<>();
+		for (Map.Entry<String, List<Worker>> entry : byUpstream.entrySet()) {
+			groupByHall(entry.getValue()).forEach(
+					(hall, group) -> new CellAssigner(entry.getKey(), hall, group).assign(cells, unassignedWorkers));
 		}
-		return new CellLayout(cells, spare);
+		return new CellLayout(cells, unassignedWorkers);
 	}
 
 	/**
 	 * Returns all cells.
-	 * @return the cells in a fixed order
+	 * @return the cells in a deterministic order
 	 */
 	public List<Cell> cells() {
 		return this.cells;
 	}
 
 	/**
-	 * Returns the workers that are in no cell, because the other role is missing.
+	 * Returns the workers that are not in any cell because workers of the other role are
+	 * missing.
 	 * @return the workers
 	 */
 	public List<Worker> unassignedWorkers() {
@@ -98,49 +101,49 @@
 	}
 
 	/**
-	 * Finds the cell of a worker.
-	 * @param workerId the worker
-	 * @return the cell, or empty if it is in none
+	 * Returns the cell of a worker.
+	 * @param workerId the identifier of the worker
+	 * @return the cell, or empty if the worker is not in any cell
 	 */
 	public Optional<Cell> cellOf(String workerId) {
 		return Optional.ofNullable(this.byWorker.get(workerId));
 	}
 
 	/**
-	 * Finds the cell that requests with a key go to first, for instance those of one
-	 * customer and preamble, so that they meet in one cache. Takes O(log n) in the number
-	 * of cells.
+	 * Returns the preferred cell for requests with the same key, for instance those of
+	 * one customer with the same prompt prefix, so that they share a prefix cache. Takes
+	 * O(log n) in the number of cells.
 	 * @param upstream the upstream
 	 * @param key the key
-	 * @return the cell, or empty if the upstream has none
+	 * @return the cell, or empty if the upstream has no cells
 	 */
 	public Optional<Cell> locate(String upstream, long key) {
-		return Optional.ofNullable(this.rings.get(upstream)).map((r) -> r.at(key));
+		return Optional.ofNullable(this.rings.get(upstream)).map((ring) -> ring.cellFor(key));
 	}
 
 	/**
-	 * Returns the node that admits work to a cell.
-	 * @param cellId the cell
+	 * Returns the node that runs admission control for a cell.
+	 * @param cellId the identifier of the cell
 	 * @param nodes the live nodes
-	 * @return the owner, or empty if no node lives
+	 * @return the owner, or empty if there are no live nodes
 	 */
 	public static Optional<String> owner(String cellId, Collection<String> nodes) {
 		return Optional.ofNullable(RendezvousHash.owner(cellId, nodes));
 	}
 
-	private static Map<String, List<Worker>> groups(List<Worker> workers) {
+	private static Map<String, List<Worker>> groupByHall(List<Worker> workers) {
 		Map<String, List<Worker>> byHall = new TreeMap<>();
 		workers.stream()
 			.sorted(Comparator.comparing(Worker::id))
-			.forEach((w) -> byHall.computeIfAbsent(w.hall(), (h) -> new ArrayList<>()).add(w));
+			.forEach((worker) -> byHall.computeIfAbsent(worker.hall(), (key) -> new ArrayList<>()).add(worker));
 		Map<String, List<Worker>> groups = new TreeMap<>();
 		List<Worker> pool = new ArrayList<>();
-		byHall.forEach((hall, l) -> {
-			if (l.size() >= MIN_WORKERS && hasBoth(l)) {
-				groups.put(hall, l);
+		byHall.forEach((hall, hallWorkers) -> {
+			if (hallWorkers.size() >= MIN_WORKERS && hasBothRoles(hallWorkers)) {
+				groups.put(hall, hallWorkers);
 			}
 			else {
-				pool.addAll(l);
+				pool.addAll(hallWorkers);
 			}
 		});
 		if (!pool.isEmpty()) {
@@ -150,53 +153,53 @@
 	}
 
 	private static void addPool(Map<String, List<Worker>> groups, List<Worker> pool) {
-		if (groups.isEmpty() || hasBoth(pool)) {
+		if (groups.isEmpty() || hasBothRoles(pool)) {
 			groups.put("", pool);
 			return;
 		}
-		WorkerRole missing = (count(pool, WorkerRole.PREFILL) == 0) ? WorkerRole.PREFILL : WorkerRole.DECODE;
+		WorkerRole missingRole = (count(pool, WorkerRole.PREFILL) == 0) ? WorkerRole.PREFILL : WorkerRole.DECODE;
 		groups.values()
 			.stream()
-			.max(Comparator.comparingInt((l) -> count(l, missing)))
-			.ifPresent((lender) -> lender.addAll(pool));
+			.max(Comparator.comparingInt((group) -> count(group, missingRole)))
+			.ifPresent((group) -> group.addAll(pool));
 	}
 
-	private static boolean hasBoth(List<Worker> l) {
-		return count(l, WorkerRole.PREFILL) > 0 && count(l, WorkerRole.DECODE) > 0;
+	private static boolean hasBothRoles(List<Worker> workers) {
+		return count(workers, WorkerRole.PREFILL) > 0 && count(workers, WorkerRole.DECODE) > 0;
 	}
 
-	static int count(List<Worker> l, WorkerRole role) {
-		return (int) l.stream().filter((w) -> w.role() == role).count();
+	static int count(List<Worker> workers, WorkerRole role) {
+		return (int) workers.stream().filter((worker) -> worker.role() == role).count();
 	}
 
-	static int cellsFor(int workers) {
-		return (workers <= MAX_WORKERS) ? 1 : (workers + TARGET_WORKERS - 1) / TARGET_WORKERS;
+	static int targetCellCount(int workerCount) {
+		return (workerCount <= MAX_WORKERS) ? 1 : (workerCount + TARGET_WORKERS - 1) / TARGET_WORKERS;
 	}
 
 	/**
-	 * The cells of an upstream as points on a circle, sorted. Immutable.
+	 * Consistent hash ring of the cells of an upstream. Immutable.
 	 */
-	private static final class Ring {
+	private static final class HashRing {
 
 		private final long[] points;
 
-		private final Cell[] owners;
+		private final Cell[] cells;
 
-		Ring(List<Cell> cells) {
-			Map<Long, Cell> m = new TreeMap<>();
-			for (Cell c : cells) {
-				for (int i = 0; i < POINTS_PER_CELL; i++) {
-					m.put(HASH.hashChars(c.id() + "#" + i), c);
+		HashRing(List<Cell> cells) {
+			Map<Long, Cell> byPoint = new TreeMap<>();
+			for (Cell cell : cells) {
+				for (int i = 0; i < RING_POINTS_PER_CELL; i++) {
+					byPoint.put(HASH.hashChars(cell.id() + "#" + i), cell);
 				}
 			}
-			this.points = m.keySet().stream().mapToLong(Long::longValue).toArray();
-			this.owners = m.values().toArray(new Cell[0]);
+			this.points = byPoint.keySet().stream().mapToLong(Long::longValue).toArray();
+			this.cells = byPoint.values().toArray(new Cell[0]);
 		}
 
-		Cell at(long key) {
-			int i = Arrays.binarySearch(this.points, HASH.hashLong(key));
-			int next = (i >= 0) ? i : -i - 1;
-			return this.owners[(next < this.owners.length) ? next : 0];
+		Cell cellFor(long key) {
+			int index = Arrays.binarySearch(this.points, HASH.hashLong(key));
+			int next = (index >= 0) ? index : -index - 1;
+			return this.cells[(next < this.cells.length) ? next : 0];
 		}
 
 	}
--- a/src/main/java/io/shallotspur/routing/DecodeWorker.java
+++ b/src/main/java/io/shallotspur/routing/DecodeWorker.java
@@ -4,29 +4,29 @@
 import io.shallotspur.fleet.WorkerRole;
 
 /**
- * The state of one decode worker: slots held and reserved, the queue of its link, its
- * learnt step time, and whether transfers to it have stalled.
+ * State of one decode worker: held and reserved slots, the backlog of its link, its
+ * estimated step time, and whether transfers to it have stalled.
  * <p>
- * Invariant: {@code held + reserved} counts each request of this scheduler that names the
- * worker once. Not thread-safe.
+ * Invariant: {@code heldSlots + reservedSlots} counts each request of this scheduler that
+ * is assigned to the worker exactly once. Not thread-safe.
  */
 public final class DecodeWorker {
 
 	private static final double TYPICAL_BATCH = 16;
 
-	private static final double FIT_MEMORY = 0.995;
+	private static final double STEP_TIME_DECAY = 0.995;
 
-	private static final double STALL_AVOID_MS = 1000;
+	private static final double MIN_STALL_AVOIDANCE_MS = 1000;
 
-	private static final double STALL_AVOID_MAX_MS = 8000;
+	private static final double MAX_STALL_AVOIDANCE_MS = 8000;
 
 	private static final double DEVIATION_GAIN = 0.25;
 
 	private final Worker worker;
 
-	private final LinearFit steps;
+	private final LinearFit stepTime;
 
-	private boolean isDraining;
+	private boolean draining;
 
 	private int heldSlots;
 
@@ -36,42 +36,44 @@
 
 	private int reservedSuspectCount;
 
-	private int foreign;
+	private int otherOwnerRequests;
 
 	private int slotLimit = Integer.MAX_VALUE;
 
-	private int peakHeld;
+	private int peakHeldSlots;
 
 	private double linkFreeAt;
 
-	private int transfers;
+	private int activeTransfers;
 
 	private double outstandingMs;
 
-	private double progressAt;
+	private double lastProgressAt;
 
-	private boolean alone;
+	private boolean lastStartedAlone;
 
-	private double transferRatio = 1;
+	private double transferTimeFactor = 1;
 
 	private double transferDeviation = 0.25;
 
 	private double avoidUntil;
 
-	private double avoidMs = STALL_AVOID_MS;
+	private double avoidanceMs = MIN_STALL_AVOIDANCE_MS;
 
 	/**
-	 * Creates the state of a worker that came up empty.
+	 * Creates the state of a worker that has just started.
 	 * @param worker the worker
-	 * @param priorStepMs the length of a step expected with one request
-	 * @param priorStepMsPerRequest what each request in the batch is expected to add
+	 * @param priorStepMs the expected duration of a step with one request, in
+	 * milliseconds
+	 * @param priorStepMsPerRequest the expected increase for each request in the batch,
+	 * in milliseconds
 	 */
 	public DecodeWorker(Worker worker, double priorStepMs, double priorStepMsPerRequest) {
 		if (worker.role() != WorkerRole.DECODE) {
 			throw new IllegalArgumentException("not a decode worker: " + worker.id());
 		}
 		this.worker = worker;
-		this.steps = new LinearFit(priorStepMs, priorStepMsPerRequest, TYPICAL_BATCH, FIT_MEMORY);
+		this.stepTime = new LinearFit(priorStepMs, priorStepMsPerRequest, TYPICAL_BATCH, STEP_TIME_DECAY);
 	}
 
 	/**
@@ -83,7 +85,7 @@
 	}
 
 	/**
-	 * Returns its identifier.
+	 * Returns the identifier of the worker.
 	 * @return the identifier
 	 */
 	public String id() {
@@ -91,60 +93,62 @@
 	}
 
 	/**
-	 * Returns whether it is leaving.
-	 * @return {@code true} if it takes no new work
+	 * Returns whether the worker is draining.
+	 * @return {@code true} if it accepts no new work
 	 */
 	public boolean isDraining() {
-		return this.isDraining;
+		return this.draining;
 	}
 
 	/**
-	 * Limits the slots that this scheduler may use.
-	 * @param most the most slots
+	 * Limits the number of slots that this scheduler may use.
+	 * @param maxSlots the maximum number of slots
 	 */
-	public void setSlotLimit(int most) {
-		this.slotLimit = most;
+	public void setSlotLimit(int maxSlots) {
+		this.slotLimit = maxSlots;
 	}
 
 	/**
-	 * Marks it as leaving.
+	 * Marks the worker as draining.
 	 */
 	public void drain() {
-		this.isDraining = true;
+		this.draining = true;
 	}
 
 	/**
-	 * Returns whether a transfer to it may be started.
-	 * @param now the present time in milliseconds
-	 * @return {@code false} if it is leaving, or avoided after a stall
+	 * Returns whether a transfer to the worker may be started.
+	 * @param now the current time in milliseconds
+	 * @return {@code false} if the worker is draining, or avoided after a stall
 	 */
 	public boolean isAvailable(long now) {
-		return !this.isDraining && now >= this.avoidUntil;
+		return !this.draining && now >= this.avoidUntil;
 	}
 
 	/**
-	 * Returns the requests it may hold, so that a step stays within the targets.
-	 * @param tbtMs the tightest target for the gap between tokens
-	 * @return the limit, at least 1
+	 * Returns the maximum number of requests for which the step time stays within the
+	 * target.
+	 * @param tbtMs the tightest target for the time between tokens, in milliseconds
+	 * @return the number of requests, at least 1
 	 */
 	public int maxRequests(double tbtMs) {
-		double fit = this.steps.largestWithin(tbtMs);
+		double maxBatch = this.stepTime.maxXWithin(tbtMs);
 		int slots = (this.worker.slots() > 0) ? this.worker.slots() : Integer.MAX_VALUE;
-		return (int) Math.max(1, Math.min(slots, fit));
+		return (int) Math.max(1, Math.min(slots, maxBatch));
 	}
 
 	/**
-	 * Returns the slots free at this moment, reservations not counted.
-	 * @param tbtMs the tightest target for the gap between tokens
-	 * @return the free slots; negative if the limit has shrunk
+	 * Returns the number of currently free slots. Reserved slots count as free.
+	 * @param tbtMs the tightest target for the time between tokens, in milliseconds
+	 * @return the number of slots; negative if the limit was lowered below the number of
+	 * held slots
 	 */
 	public int freeSlots(double tbtMs) {
-		return Math.min(maxRequests(tbtMs) - this.foreign, this.slotLimit) - this.heldSlots;
+		return Math.min(maxRequests(tbtMs) - this.otherOwnerRequests, this.slotLimit) - this.heldSlots;
 	}
 
 	/**
-	 * Returns the requests of this scheduler that hold memory here, those in transfer
-	 * among them.
+	 * Returns the number of requests of this scheduler that hold memory on the worker,
+	 * including those whose transfer is in progress.
 	 * @return the number of requests
 	 */
 	public int heldSlots() {
@@ -152,8 +156,8 @@
 	}
 
 	/**
-	 * Returns the reservations of requests whose prefill is not yet done or whose
-	 * transfer has not begun.
+	 * Returns the number of slots reserved for requests whose prefill is not complete or
+	 * whose transfer has not started.
 	 * @return the number of reservations
 	 */
 	public int reservedSlots() {
@@ -161,180 +165,184 @@
 	}
 
 	/**
-	 * Returns the suspects that hold memory here.
-	 * @return the number of suspects
+	 * Returns the number of requests holding memory on the worker that are suspected of
+	 * crashing workers.
+	 * @return the number of requests
 	 */
 	public int suspectCount() {
 		return this.suspectCount;
 	}
 
 	/**
-	 * Adds or takes away a suspect.
-	 * @param n 1 or -1
+	 * Adjusts the number of suspected requests that hold memory.
+	 * @param delta 1 or -1
 	 */
-	public void adjustSuspects(int n) {
-		this.suspectCount += n;
+	public void adjustSuspects(int delta) {
+		this.suspectCount += delta;
 	}
 
 	/**
-	 * Returns the suspects for which a slot is reserved here.
-	 * @return the number of suspects
+	 * Returns the number of suspected requests for which a slot is reserved.
+	 * @return the number of requests
 	 */
 	public int reservedSuspectCount() {
 		return this.reservedSuspectCount;
 	}
 
 	/**
-	 * Adds or takes away a suspect for which a slot is reserved.
-	 * @param n 1 or -1
+	 * Adjusts the number of suspected requests for which a slot is reserved.
+	 * @param delta 1 or -1
 	 */
-	public void adjustReservedSuspects(int n) {
-		this.reservedSuspectCount += n;
+	public void adjustReservedSuspects(int delta) {
+		this.reservedSuspectCount += delta;
 	}
 
 	/**
-	 * Adds or takes away a reservation.
-	 * @param n 1 or -1
+	 * Adjusts the number of reserved slots.
+	 * @param delta 1 or -1
 	 */
-	public void adjustReservedSlots(int n) {
-		this.reservedSlots += n;
+	public void adjustReservedSlots(int delta) {
+		this.reservedSlots += delta;
 	}
 
 	/**
-	 * Adds or takes away a request that holds memory.
-	 * @param n 1 or -1
+	 * Adjusts the number of requests that hold memory.
+	 * @param delta 1 or -1
 	 */
-	public void adjustHeldSlots(int n) {
-		this.heldSlots += n;
-		this.peakHeld = Math.max(this.peakHeld, this.heldSlots);
+	public void adjustHeldSlots(int delta) {
+		this.heldSlots += delta;
+		this.peakHeldSlots = Math.max(this.peakHeldSlots, this.heldSlots);
 	}
 
 	/**
-	 * Takes a load report. What the worker held beyond our own is another owner's: it
-	 * occurs while a former owner of the cell still has work there.
-	 * @param active the requests the worker said it held
+	 * Records a load report. Requests in excess of those of this scheduler belong to
+	 * another owner: a previous owner of the cell may still have running requests on the
+	 * worker.
+	 * @param activeRequests the number of requests reported by the worker
 	 */
-	public void recordActiveRequests(int active) {
-		this.foreign = Math.max(0, active - this.peakHeld);
-		this.peakHeld = this.heldSlots;
+	public void recordActiveRequests(int activeRequests) {
+		this.otherOwnerRequests = Math.max(0, activeRequests - this.peakHeldSlots);
+		this.peakHeldSlots = this.heldSlots;
 	}
 
 	/**
-	 * Learns from a timed step.
-	 * @param batch requests in the batch
-	 * @param stepMs the length of the step
+	 * Updates the step time estimate with a measured step.
+	 * @param batchSize the number of requests in the batch
+	 * @param stepMs the duration of the step in milliseconds
 	 */
-	public void observeStep(int batch, double stepMs) {
-		this.steps.observe(batch, stepMs);
+	public void observeStep(int batchSize, double stepMs) {
+		this.stepTime.observe(batchSize, stepMs);
 	}
 
 	/**
-	 * Predicts the length of a step.
-	 * @param batch requests in the batch
-	 * @return milliseconds
+	 * Predicts the duration of a step.
+	 * @param batchSize the number of requests in the batch
+	 * @return the duration in milliseconds
 	 */
-	public double predictStepMs(int batch) {
-		return this.steps.predict(batch);
+	public double predictStepMs(int batchSize) {
+		return this.stepTime.predict(batchSize);
 	}
 
 	/**
-	 * Predicts when a transfer that is asked for at some time would end.
-	 * @param tokens the tokens whose KV cache is moved
-	 * @param at when it may begin, in milliseconds
+	 * Predicts when a transfer would complete if it were requested at a given time.
+	 * @param tokens the number of tokens whose KV cache is transferred
+	 * @param earliestStart when the transfer may start, in milliseconds
 	 * @return the time in milliseconds
 	 */
-	public double predictTransferEnd(int tokens, double at) {
-		return Math.max(at, this.linkFreeAt) + predictTransferMs(tokens);
+	public double predictTransferEnd(int tokens, double earliestStart) {
+		return Math.max(earliestStart, this.linkFreeAt) + predictTransferMs(tokens);
 	}
 
 	/**
-	 * Predicts the length of a transfer that has the link to itself.
-	 * @param tokens the tokens whose KV cache is moved
-	 * @return milliseconds
+	 * Predicts the duration of a transfer that does not share the link.
+	 * @param tokens the number of tokens whose KV cache is transferred
+	 * @return the duration in milliseconds
 	 */
 	public double predictTransferMs(int tokens) {
-		return linkMs(tokens) * this.transferRatio;
+		return nominalTransferMs(tokens) * this.transferTimeFactor;
 	}
 
 	/**
-	 * Returns whether no transfer is under way to it.
-	 * @return whether its link is idle
+	 * Returns whether no transfer to the worker is in progress.
+	 * @return whether the link is idle
 	 */
 	public boolean isLinkIdle() {
-		return this.transfers == 0;
+		return this.activeTransfers == 0;
 	}
 
 	/**
-	 * Starts a transfer and books the link for it.
-	 * @param tokens the tokens whose KV cache is moved
-	 * @param now the present time in milliseconds
-	 * @return its predicted length if it has the link to itself, in milliseconds
+	 * Starts a transfer and adds it to the backlog of the link.
+	 * @param tokens the number of tokens whose KV cache is transferred
+	 * @param now the current time in milliseconds
+	 * @return the predicted duration without sharing the link, in milliseconds
 	 */
 	public double startTransfer(int tokens, long now) {
-		double ms = predictTransferMs(tokens);
-		if (this.transfers == 0) {
-			this.progressAt = now;
+		double predictedMs = predictTransferMs(tokens);
+		if (this.activeTransfers == 0) {
+			this.lastProgressAt = now;
 		}
-		this.transfers++;
-		this.alone = this.transfers == 1;
-		this.outstandingMs += ms;
-		this.linkFreeAt = Math.max(now, this.linkFreeAt) + ms;
-		return ms;
+		this.activeTransfers++;
+		this.lastStartedAlone = this.activeTransfers == 1;
+		this.outstandingMs += predictedMs;
+		this.linkFreeAt = Math.max(now, this.linkFreeAt) + predictedMs;
+		return predictedMs;
 	}
 
 	/**
-	 * Ends a transfer that arrived, which also shows that the link works.
-	 * @param predictedMs what {@link #startTransfer} returned
-	 * @param tookMs its true length
-	 * @param now the present time in milliseconds
+	 * Records the successful end of a transfer. This also shows that the link works and
+	 * ends the avoidance after a stall.
+	 * @param predictedMs the value returned by {@link #startTransfer}
+	 * @param actualMs the actual duration in milliseconds
+	 * @param now the current time in milliseconds
 	 */
-	public void completeTransfer(double predictedMs, double tookMs, long now) {
-		if (this.alone && predictedMs > 0) {
-			double r = Math.min(4, tookMs / predictedMs);
-			this.transferDeviation += DEVIATION_GAIN * (Math.abs(r - 1) - this.transferDeviation);
-			this.transferRatio = Math.max(0.1, this.transferRatio * (1 + 0.1 * (r - 1)));
+	public void completeTransfer(double predictedMs, double actualMs, long now) {
+		if (this.lastStartedAlone && predictedMs > 0) {
+			double ratio = Math.min(4, actualMs / predictedMs);
+			this.transferDeviation += DEVIATION_GAIN * (Math.abs(ratio - 1) - this.transferDeviation);
+			this.transferTimeFactor = Math.max(0.1, this.transferTimeFactor * (1 + 0.1 * (ratio - 1)));
 		}
 		endTransfer(predictedMs, now);
-		this.progressAt = now;
-		this.avoidMs = STALL_AVOID_MS;
+		this.lastProgressAt = now;
+		this.avoidanceMs = MIN_STALL_AVOIDANCE_MS;
 		this.avoidUntil = 0;
 	}
 
 	/**
-	 * Ends a transfer that was cancelled or failed.
-	 * @param predictedMs what {@link #startTransfer} returned
-	 * @param now the present time in milliseconds
+	 * Records the end of a transfer that was cancelled or failed.
+	 * @param predictedMs the value returned by {@link #startTransfer}
+	 * @param now the current time in milliseconds
 	 */
 	public void endTransfer(double predictedMs, long now) {
-		this.transfers--;
-		this.outstandingMs = (this.transfers > 0) ? Math.max(0, this.outstandingMs - predictedMs) : 0;
+		this.activeTransfers--;
+		this.outstandingMs = (this.activeTransfers > 0) ? Math.max(0, this.outstandingMs - predictedMs) : 0;
 		this.linkFreeAt = now + this.outstandingMs;
 	}
 
 	/**
-	 * Returns when the transfers under way count as stalled if none of them ends. A link
-	 * that works ends one at the latest when it has moved all of them, in whatever order
-	 * it does so.
-	 * @param floorMs the least patience beyond the prediction
+	 * Returns when the active transfers are considered stalled if none of them completes.
+	 * A working link completes at least one transfer in the time that it takes to move
+	 * the data of all of them, regardless of their order.
+	 * @param minGraceMs the minimum time allowed beyond the prediction, in milliseconds
 	 * @return the time in milliseconds
 	 */
-	public double stallDeadline(double floorMs) {
-		return this.progressAt + this.outstandingMs * (1 + 4 * this.transferDeviation) + floorMs;
+	public double stallDeadline(double minGraceMs) {
+		return this.lastProgressAt + this.outstandingMs * (1 + 4 * this.transferDeviation) + minGraceMs;
 	}
 
 	/**
-	 * Notes that transfers stalled: the worker is avoided, for longer each time.
-	 * @param now the present time in milliseconds
+	 * Records a stall of the transfers. The worker is avoided for a period that doubles
+	 * with each stall, up to a maximum.
+	 * @param now the current time in milliseconds
 	 */
 	public void recordStall(long now) {
 		if (now < this.avoidUntil) {
 			return;
 		}
-		this.avoidUntil = now + this.avoidMs;
-		this.avoidMs = Math.min(STALL_AVOID_MAX_MS, this.avoidMs * 2);
+		this.avoidUntil = now + this.avoidanceMs;
+		this.avoidanceMs = Math.min(MAX_STALL_AVOIDANCE_MS, this.avoidanceMs * 2);
 	}
 
-	private double linkMs(int tokens) {
+	private double nominalTransferMs(int tokens) {
 		if (this.worker.linkMbPerS() <= 0) {
 			return 0;
 		}
--- a/src/main/java/io/shallotspur/routing/LinearFit.java
+++ b/src/main/java/io/shallotspur/routing/LinearFit.java
@@ -1,8 +1,9 @@
 package io.shallotspur.routing;
 
 /**
- * An online fit of {@code y = intercept + slope * x} that forgets old samples. The slope
- * is drawn towards a prior, so that samples of one size alone do not send it astray.
+ * Online linear regression of {@code y = intercept + slope * x} with exponentially
+ * decaying sample weights. The slope is regularized towards a prior, so that samples of
+ * similar size do not produce an arbitrary slope.
  * <p>
  * Invariant: the prediction is finite and never negative. Not thread-safe.
  */
@@ -14,7 +15,7 @@
 
 	private final double ridge;
 
-	private final double memory;
+	private final double decay;
 
 	private double weight;
 
@@ -28,42 +29,42 @@
 
 	/**
 	 * Creates a fit that starts from a prior.
-	 * @param intercept the value expected at 0
-	 * @param slope the growth expected per unit of x
-	 * @param typicalX the x at which the prior is trusted most, over 0
-	 * @param memory the part of the weight of old samples that each new one leaves them,
-	 * between 0 and 1
+	 * @param intercept the expected value at 0
+	 * @param slope the expected increase per unit of x
+	 * @param typicalX the x at which the prior is most reliable, greater than 0
+	 * @param decay the factor by which each new sample reduces the weight of earlier
+	 * ones, between 0 and 1
 	 */
-	public LinearFit(double intercept, double slope, double typicalX, double memory) {
+	public LinearFit(double intercept, double slope, double typicalX, double decay) {
 		this.priorSlope = slope;
 		this.ridge = PRIOR_SAMPLES * typicalX * typicalX * 0.01;
-		this.memory = memory;
+		this.decay = decay;
 		this.weight = 1;
 		this.meanX = typicalX;
 		this.meanY = intercept + slope * typicalX;
 	}
 
 	/**
-	 * Adds a sample.
+	 * Adds a sample. It is ignored if a value is not finite or y is negative.
 	 * @param x the size of the work
-	 * @param y what it took
+	 * @param y its measured duration
 	 */
 	public void observe(double x, double y) {
 		if (!Double.isFinite(x) || !Double.isFinite(y) || y < 0) {
 			return;
 		}
-		double w = this.weight * this.memory + 1;
+		double newWeight = this.weight * this.decay + 1;
 		double dx = x - this.meanX;
 		double dy = y - this.meanY;
-		this.meanX += dx / w;
-		this.meanY += dy / w;
-		this.varX = this.varX * this.memory + dx * (x - this.meanX);
-		this.covXy = this.covXy * this.memory + dx * (y - this.meanY);
-		this.weight = w;
+		this.meanX += dx / newWeight;
+		this.meanY += dy / newWeight;
+		this.varX = this.varX * this.decay + dx * (x - this.meanX);
+		this.covXy = this.covXy * this.decay + dx * (y - this.meanY);
+		this.weight = newWeight;
 	}
 
 	/**
-	 * Predicts what work of a size takes.
+	 * Predicts the duration of work of a given size.
 	 * @param x the size of the work
 	 * @return the prediction, at least 0
 	 */
@@ -72,25 +73,25 @@
 	}
 
 	/**
-	 * Returns the learnt slope.
-	 * @return the growth per unit of x, at least 0
+	 * Returns the estimated slope.
+	 * @return the increase per unit of x, at least 0
 	 */
 	public double slope() {
 		return Math.max(0, (this.covXy + this.ridge * this.priorSlope) / (this.varX + this.ridge));
 	}
 
 	/**
-	 * Returns the largest x whose prediction stays within a limit.
+	 * Returns the largest x whose prediction does not exceed a limit.
 	 * @param limit the limit of y
-	 * @return the largest x; negative if even 0 is over the limit
+	 * @return the largest x; negative if the prediction at 0 exceeds the limit
 	 */
-	public double largestWithin(double limit) {
-		double s = slope();
-		double atZero = this.meanY - s * this.meanX;
-		if (s <= 0) {
-			return (atZero <= limit) ? Double.MAX_VALUE : -1;
+	public double maxXWithin(double limit) {
+		double slope = slope();
+		double intercept = this.meanY - slope * this.meanX;
+		if (slope <= 0) {
+			return (intercept <= limit) ? Double.MAX_VALUE : -1;
 		}
-		return (limit - atZero) / s;
+		return (limit - intercept) / slope;
 	}
 
 }
--- a/src/main/java/io/shallotspur/routing/OutputLengthSample.java
+++ b/src/main/java/io/shallotspur/routing/OutputLengthSample.java
@@ -3,17 +3,17 @@
 import java.util.Arrays;
 
 /**
- * The latest output lengths of one kind of request. From them come the expected length
- * and the chance that a running answer ends soon. Bounded memory; old lengths are
- * overwritten. Not thread-safe.
+ * Sample of the most recent output lengths of one kind of request. It estimates the
+ * expected length and the probability that a running response ends soon. Memory is
+ * bounded: the oldest lengths are overwritten. Not thread-safe.
  */
 public final class OutputLengthSample {
 
 	private static final int CAPACITY = 192;
 
-	private static final int SORT_EVERY = 8;
+	private static final int SORT_INTERVAL = 8;
 
-	private static final double[] PRIOR_SPREAD = { 0.35, 0.6, 0.8, 0.95, 1.05, 1.2, 1.45, 1.6 };
+	private static final double[] PRIOR_LENGTH_FACTORS = { 0.35, 0.6, 0.8, 0.95, 1.05, 1.2, 1.45, 1.6 };
 
 	private final int[] ring = new int[CAPACITY];
 
@@ -21,94 +21,95 @@
 
 	private int count;
 
-	private int next;
+	private int nextIndex;
 
-	private int unsorted;
+	private int addedSinceSort;
 
 	private double mean;
 
 	/**
-	 * Creates a sample that starts with a few lengths around a prior.
-	 * @param priorTokens the length expected before anything is learnt
+	 * Creates a sample that initially contains a few lengths around a prior estimate.
+	 * @param priorTokens the length expected before any observation, in tokens
 	 */
 	public OutputLengthSample(int priorTokens) {
-		for (double f : PRIOR_SPREAD) {
-			add((int) Math.max(1, priorTokens * f));
+		for (double factor : PRIOR_LENGTH_FACTORS) {
+			add((int) Math.max(1, priorTokens * factor));
 		}
 		sort();
 	}
 
 	/**
-	 * Adds the length of a complete answer.
+	 * Adds the length of a completed response.
 	 * @param tokens the length in tokens
 	 */
 	public void observe(int tokens) {
 		add(tokens);
-		this.unsorted++;
-		if (this.unsorted >= SORT_EVERY) {
+		this.addedSinceSort++;
+		if (this.addedSinceSort >= SORT_INTERVAL) {
 			sort();
 		}
 	}
 
 	/**
 	 * Returns the mean length.
-	 * @return tokens
+	 * @return the length in tokens
 	 */
 	public double mean() {
 		return this.mean;
 	}
 
 	/**
-	 * Returns how many more tokens an answer is expected to have.
-	 * @param generated the tokens it has
-	 * @return tokens, at least 1
+	 * Returns the expected number of remaining tokens of a response.
+	 * @param generated the number of tokens generated so far
+	 * @return the number of tokens, at least 1
 	 */
 	public double expectedRemaining(int generated) {
-		int from = above(generated);
-		int n = this.sorted.length - from;
-		if (n == 0) {
+		int from = firstIndexAbove(generated);
+		int longerCount = this.sorted.length - from;
+		if (longerCount == 0) {
 			return Math.max(1, generated * 0.1);
 		}
 		double sum = 0;
 		for (int i = from; i < this.sorted.length; i++) {
 			sum += this.sorted[i] - generated;
 		}
-		return Math.max(1, sum / n);
+		return Math.max(1, sum / longerCount);
 	}
 
 	/**
-	 * Returns how many more tokens an answer has at least, but for a few.
-	 * @param generated the tokens it has
-	 * @param chance the part of answers of that length so far that have fewer, under 1
-	 * @return tokens, at least 1
+	 * Returns a quantile of the number of remaining tokens of a response.
+	 * @param generated the number of tokens generated so far
+	 * @param quantile the fraction of responses longer than {@code generated} that may
+	 * have fewer remaining tokens, less than 1
+	 * @return the number of tokens, at least 1
 	 */
-	public double remainingQuantile(int generated, double chance) {
-		int from = above(generated);
-		int n = this.sorted.length - from;
-		return (n == 0) ? 1 : Math.max(1, this.sorted[from + (int) (chance * n)] - generated);
+	public double remainingQuantile(int generated, double quantile) {
+		int from = firstIndexAbove(generated);
+		int longerCount = this.sorted.length - from;
+		return (longerCount == 0) ? 1 : Math.max(1, this.sorted[from + (int) (quantile * longerCount)] - generated);
 	}
 
 	/**
-	 * Returns the chance that an answer ends within the next tokens.
-	 * @param generated the tokens it has
-	 * @param ahead the tokens to come
-	 * @return a probability
+	 * Returns the probability that a response ends within a number of further tokens.
+	 * @param generated the number of tokens generated so far
+	 * @param nextTokens the number of further tokens
+	 * @return the probability
 	 */
-	public double endProbability(int generated, double ahead) {
-		if (ahead <= 0) {
+	public double endProbability(int generated, double nextTokens) {
+		if (nextTokens <= 0) {
 			return 0;
 		}
-		int alive = this.sorted.length - above(generated);
-		if (alive == 0) {
-			return Math.min(1, ahead / Math.max(1, generated * 0.1));
+		int longerCount = this.sorted.length - firstIndexAbove(generated);
+		if (longerCount == 0) {
+			return Math.min(1, nextTokens / Math.max(1, generated * 0.1));
 		}
-		int after = this.sorted.length - above((int) (generated + ahead));
-		return 1 - (double) after / alive;
+		int stillRunning = this.sorted.length - firstIndexAbove((int) (generated + nextTokens));
+		return 1 - (double) stillRunning / longerCount;
 	}
 
 	private void add(int tokens) {
-		this.ring[this.next] = tokens;
-		this.next = (this.next + 1) % CAPACITY;
+		this.ring[this.nextIndex] = tokens;
+		this.nextIndex = (this.nextIndex + 1) % CAPACITY;
 		this.count = Math.min(CAPACITY, this.count + 1);
 	}
 
@@ -116,22 +117,22 @@
 		this.sorted = Arrays.copyOf(this.ring, this.count);
 		Arrays.sort(this.sorted);
 		this.mean = Arrays.stream(this.sorted).average().orElse(1);
-		this.unsorted = 0;
+		this.addedSinceSort = 0;
 	}
 
-	private int above(int tokens) {
-		int lo = 0;
-		int hi = this.sorted.length;
-		while (lo < hi) {
-			int mid = (lo + hi) >>> 1;
-			if (this.sorted[mid] > tokens) {
-				hi = mid;
+	private int firstIndexAbove(int tokens) {
+		int low = 0;
+		int high = this.sorted.length;
+		while (low < high) {
+			int middle = (low + high) >>> 1;
+			if (this.sorted[middle] > tokens) {
+				high = middle;
 			}
 			else {
-				lo = mid + 1;
+				low = middle + 1;
 			}
 		}
-		return lo;
+		return low;
 	}
 
 }
--- a/src/main/java/io/shallotspur/routing/OutputLengthSamples.java
+++ b/src/main/java/io/shallotspur/routing/OutputLengthSamples.java
@@ -4,55 +4,56 @@
 import java.util.Map;
 
 /**
- * Learnt output lengths by customer and class. A kind not seen before starts from the
- * mean of all. Bounded: the kind used least recently is forgotten. Not thread-safe.
+ * Samples of output lengths by customer and request class. A new sample starts with the
+ * mean of all requests as its prior. Memory is bounded: the least recently used sample is
+ * evicted. Not thread-safe.
  */
 public final class OutputLengthSamples {
 
-	private static final int MAX_KINDS = 512;
+	private static final int MAX_SAMPLES = 512;
 
-	private final OutputLengthSample all;
+	private final OutputLengthSample allRequests;
 
-	private final Map<Kind, OutputLengthSample> byKind = new LinkedHashMap<>(16, 0.75f, true) {
+	private final Map<Key, OutputLengthSample> byKey = new LinkedHashMap<>(16, 0.75f, true) {
 
 		@Override
-		protected boolean removeEldestEntry(Map.Entry<Kind, OutputLengthSample> eldest) {
-			return size() > MAX_KINDS;
+		protected boolean removeEldestEntry(Map.Entry<Key, OutputLengthSample> eldest) {
+			return size() > MAX_SAMPLES;
 		}
 
 	};
 
 	/**
-	 * Creates the learner.
-	 * @param priorTokens the length expected before anything is learnt
+	 * Creates an empty set of samples.
+	 * @param priorTokens the length expected before any observation, in tokens
 	 */
 	public OutputLengthSamples(int priorTokens) {
-		this.all = new OutputLengthSample(priorTokens);
+		this.allRequests = new OutputLengthSample(priorTokens);
 	}
 
 	/**
-	 * Returns the sample of a kind of request.
+	 * Returns the sample of a customer and class.
 	 * @param customer the customer
-	 * @param className the class
-	 * @return its sample
+	 * @param className the name of the request class
+	 * @return the sample
 	 */
 	public OutputLengthSample sampleFor(String customer, String className) {
-		return this.byKind.computeIfAbsent(new Kind(customer, className),
-				(k) -> new OutputLengthSample((int) this.all.mean()));
+		return this.byKey.computeIfAbsent(new Key(customer, className),
+				(key) -> new OutputLengthSample((int) this.allRequests.mean()));
 	}
 
 	/**
-	 * Adds the length of a complete answer.
+	 * Adds the length of a completed response.
 	 * @param customer the customer
-	 * @param className the class
+	 * @param className the name of the request class
 	 * @param tokens the length in tokens
 	 */
 	public void observe(String customer, String className, int tokens) {
-		this.all.observe(tokens);
+		this.allRequests.observe(tokens);
 		sampleFor(customer, className).observe(tokens);
 	}
 
-	private record Kind(String customer, String className) {
+	private record Key(String customer, String className) {
 
 	}
 
--- a/src/main/java/io/shallotspur/routing/PrefillWorker.java
+++ b/src/main/java/io/shallotspur/routing/PrefillWorker.java
@@ -4,44 +4,46 @@
 import io.shallotspur.fleet.WorkerRole;
 
 /**
- * The state of one prefill worker: what it runs, what its cache holds, what its work
- * costs. It reads one prompt at a time. Not thread-safe.
+ * State of one prefill worker: its running prefill, the expected content of its prefix
+ * cache, and its estimated prefill time. The worker processes one prompt at a time. Not
+ * thread-safe.
  */
 public final class PrefillWorker {
 
 	private static final double TYPICAL_TOKENS = 2000;
 
-	private static final double FIT_MEMORY = 0.97;
+	private static final double PREFILL_TIME_DECAY = 0.97;
 
 	private static final int BLOCK_TOKENS = 256;
 
 	private final Worker worker;
 
-	private final LinearFit fit;
+	private final LinearFit prefillTime;
 
 	private final PrefixIndex prefixIndex;
 
-	private boolean isDraining;
+	private boolean draining;
 
-	private long running;
+	private long runningAttempt;
 
-	private double busyUntil;
+	private double expectedFinishAt;
 
 	private long[] runningBlocks = {};
 
 	/**
-	 * Creates the state of a worker that came up empty.
+	 * Creates the state of a worker that has just started.
 	 * @param worker the worker
-	 * @param priorMsPerToken the cost expected before anything is learnt
-	 * @param shared the blocks that several prompts had
+	 * @param priorMsPerToken the cost expected before any observation, in milliseconds
+	 * per token
+	 * @param sharedBlocks the blocks that occurred in more than one prompt
 	 */
-	public PrefillWorker(Worker worker, double priorMsPerToken, SharedBlocks shared) {
+	public PrefillWorker(Worker worker, double priorMsPerToken, SharedBlocks sharedBlocks) {
 		if (worker.role() != WorkerRole.PREFILL) {
 			throw new IllegalArgumentException("not a prefill worker: " + worker.id());
 		}
 		this.worker = worker;
-		this.fit = new LinearFit(0, priorMsPerToken, TYPICAL_TOKENS, FIT_MEMORY);
-		this.prefixIndex = new PrefixIndex(worker.cacheTokens() / BLOCK_TOKENS, shared::isShared);
+		this.prefillTime = new LinearFit(0, priorMsPerToken, TYPICAL_TOKENS, PREFILL_TIME_DECAY);
+		this.prefixIndex = new PrefixIndex(worker.cacheTokens() / BLOCK_TOKENS, sharedBlocks::isShared);
 	}
 
 	/**
@@ -53,7 +55,7 @@
 	}
 
 	/**
-	 * Returns its identifier.
+	 * Returns the identifier of the worker.
 	 * @return the identifier
 	 */
 	public String id() {
@@ -61,7 +63,7 @@
 	}
 
 	/**
-	 * Returns what its cache is believed to hold.
+	 * Returns the index of the blocks that its cache is expected to contain.
 	 * @return the index
 	 */
 	public PrefixIndex prefixIndex() {
@@ -69,143 +71,150 @@
 	}
 
 	/**
-	 * Returns whether it is leaving.
-	 * @return {@code true} if it takes no new work
+	 * Returns whether the worker is draining.
+	 * @return {@code true} if it accepts no new work
 	 */
 	public boolean isDraining() {
-		return this.isDraining;
+		return this.draining;
 	}
 
 	/**
-	 * Marks it as leaving.
+	 * Marks the worker as draining.
 	 */
 	public void drain() {
-		this.isDraining = true;
+		this.draining = true;
 	}
 
 	/**
-	 * Returns whether it can start a prefill now.
-	 * @return {@code true} if it is idle and not leaving
+	 * Returns whether the worker can start a prefill now.
+	 * @return {@code true} if it is idle and not draining
 	 */
 	public boolean isIdle() {
-		return this.running == 0 && !this.isDraining;
+		return this.runningAttempt == 0 && !this.draining;
 	}
 
 	/**
-	 * Returns when it is expected to be free.
-	 * @param now the present time in milliseconds
-	 * @return the time in milliseconds, not before {@code now}
+	 * Returns when the worker is expected to be free.
+	 * @param now the current time in milliseconds
+	 * @return the time in milliseconds, not earlier than {@code now}
 	 */
 	public double expectedFreeAt(long now) {
-		return (this.running == 0) ? now : Math.max(now, this.busyUntil);
+		return (this.runningAttempt == 0) ? now : Math.max(now, this.expectedFinishAt);
 	}
 
 	/**
-	 * Predicts the length of a prefill.
-	 * @param tokens the tokens that are not cached
-	 * @return milliseconds
+	 * Predicts the duration of a prefill.
+	 * @param uncachedTokens the number of tokens to compute
+	 * @return the duration in milliseconds
 	 */
-	public double predictPrefillMs(int tokens) {
-		return this.fit.predict(tokens);
+	public double predictPrefillMs(int uncachedTokens) {
+		return this.prefillTime.predict(uncachedTokens);
 	}
 
 	/**
-	 * Returns the tokens of a prompt that would have to be computed.
-	 * @param promptTokens the whole prompt
-	 * @param blocks the hashes of its leading blocks
-	 * @param expected whether the prompt that is being read now counts as cached
-	 * @return tokens, at least 1
+	 * Returns the number of tokens of a prompt that would have to be computed.
+	 * @param promptTokens the length of the prompt in tokens
+	 * @param blocks the hashes of the prompt's leading blocks
+	 * @param includeRunning whether the blocks of the running prefill count as cached
+	 * @return the number of tokens, at least 1
 	 */
-	public int uncachedTokens(int promptTokens, long[] blocks, boolean expected) {
-		int held = this.prefixIndex.match(blocks);
-		if (expected && this.runningBlocks.length > 0) {
-			held = Math.max(held, common(blocks, this.runningBlocks));
+	public int uncachedTokens(int promptTokens, long[] blocks, boolean includeRunning) {
+		int cachedBlocks = this.prefixIndex.match(blocks);
+		if (includeRunning && this.runningBlocks.length > 0) {
+			cachedBlocks = Math.max(cachedBlocks, commonPrefixLength(blocks, this.runningBlocks));
 		}
-		return Math.max(1, promptTokens - held * BLOCK_TOKENS);
+		return Math.max(1, promptTokens - cachedBlocks * BLOCK_TOKENS);
 	}
 
 	/**
-	 * Returns what reading a prompt here would cost later prompts, whose preambles it
-	 * pushes out of the cache.
+	 * Returns the additional cost to later prompts if a prefill of this prompt evicts
+	 * their shared prefixes from the cache.
 	 * @param blocks the hashes of the prompt's leading blocks
-	 * @param since what was not used since this time is no loss, in milliseconds
-	 * @return milliseconds of prefill
+	 * @param usedSince evicting blocks that were last used before this time costs
+	 * nothing, in milliseconds
+	 * @return the cost in milliseconds of prefill time
 	 */
-	public double evictionCostMs(long[] blocks, long since) {
+	public double evictionCostMs(long[] blocks, long usedSince) {
 		if (this.prefixIndex.hasRoom(blocks.length)) {
 			return 0;
 		}
-		return this.fit.slope() * BLOCK_TOKENS * this.prefixIndex.pushedOut(blocks, this.prefixIndex.match(blocks), since);
+		return this.prefillTime.slope() * BLOCK_TOKENS
+				* this.prefixIndex.countEvictedShared(blocks, this.prefixIndex.match(blocks), usedSince);
 	}
 
 	/**
-	 * Returns what reading a prompt here would save later ones with the same preamble.
+	 * Returns the prefill time that later prompts with the same shared prefix would save
+	 * if this prompt were prefilled here.
 	 * @param blocks the hashes of the prompt's leading blocks
-	 * @return milliseconds of prefill
+	 * @return the saving in milliseconds of prefill time
 	 */
 	public double warmingBenefitMs(long[] blocks) {
-		return this.fit.slope() * BLOCK_TOKENS * (this.prefixIndex.sharedIn(blocks) - this.prefixIndex.match(blocks));
+		return this.prefillTime.slope() * BLOCK_TOKENS
+				* (this.prefixIndex.sharedPrefixLength(blocks) - this.prefixIndex.match(blocks));
 	}
 
 	/**
-	 * Starts a prefill.
+	 * Records the start of a prefill.
 	 * @param attempt the attempt, not 0
 	 * @param blocks the hashes of the prompt's leading blocks
-	 * @param finishAt when it is expected to finish, in milliseconds
+	 * @param expectedFinish when the prefill is expected to finish, in milliseconds
 	 */
-	public void startPrefill(long attempt, long[] blocks, double finishAt) {
-		this.running = attempt;
+	public void startPrefill(long attempt, long[] blocks, double expectedFinish) {
+		this.runningAttempt = attempt;
 		this.runningBlocks = blocks;
-		this.busyUntil = finishAt;
+		this.expectedFinishAt = expectedFinish;
 	}
 
 	/**
-	 * Ends a prefill that finished, and learns from it.
+	 * Records the successful end of a prefill, and updates the time estimate and the
+	 * prefix index.
 	 * @param attempt the attempt
-	 * @param promptTokens the whole prompt
-	 * @param computedTokens the tokens that were computed
-	 * @param tookMs how long it took
-	 * @param now the present time in milliseconds
+	 * @param promptTokens the length of the prompt in tokens
+	 * @param computedTokens the number of tokens that were computed
+	 * @param durationMs the duration in milliseconds
+	 * @param now the current time in milliseconds
 	 */
-	public void finishPrefill(long attempt, int promptTokens, int computedTokens, double tookMs, long now) {
-		if (this.running != attempt) {
+	public void finishPrefill(long attempt, int promptTokens, int computedTokens, double durationMs, long now) {
+		if (this.runningAttempt != attempt) {
 			return;
 		}
-		this.fit.observe(computedTokens, tookMs);
-		this.prefixIndex.correct(this.runningBlocks, (promptTokens - computedTokens) / BLOCK_TOKENS);
+		this.prefillTime.observe(computedTokens, durationMs);
+		this.prefixIndex.removeFrom(this.runningBlocks, (promptTokens - computedTokens) / BLOCK_TOKENS);
 		this.prefixIndex.recordPrompt(this.runningBlocks, now);
-		free();
+		clearRunning();
 	}
 
 	/**
-	 * Ends a prefill that was cancelled or failed.
+	 * Records the end of a prefill that was cancelled or failed.
 	 * @param attempt the attempt
 	 */
 	public void abortPrefill(long attempt) {
-		if (this.running == attempt) {
-			free();
+		if (this.runningAttempt == attempt) {
+			clearRunning();
 		}
 	}
 
-	private void free() {
-		this.running = 0;
+	private void clearRunning() {
+		this.runningAttempt = 0;
 		this.runningBlocks = new long[0];
-		this.busyUntil = 0;
-	}
-
-	private static int common(long[] a, long[] b) {
-		int lo = 0;
-		int hi = Math.min(a.length, b.length);
-		while (lo < hi) {
-			int mid = (lo + hi + 1) >>> 1;
-			if (a[mid - 1] == b[mid - 1]) {
-				lo = mid;
+		this.expectedFinishAt = 0;
+	}
+
+	// Block hashes cover all preceding blocks, so a binary search finds the common
+	// prefix.
+	private static int commonPrefixLength(long[] a, long[] b) {
+		int low = 0;
+		int high = Math.min(a.length, b.length);
+		while (low < high) {
+			int middle = (low + high + 1) >>> 1;
+			if (a[middle - 1] == b[middle - 1]) {
+				low = middle;
 			}
 			else {
-				hi = mid - 1;
+				high = middle - 1;
 			}
 		}
-		return lo;
+		return low;
 	}
 
 }
--- a/src/main/java/io/shallotspur/routing/PrefixIndex.java
+++ b/src/main/java/io/shallotspur/routing/PrefixIndex.java
@@ -4,100 +4,103 @@
 import java.util.function.LongPredicate;
 
 /**
- * What the router believes the prefix cache of one prefill worker holds, as hashes of
- * prompt blocks. The belief follows the router's own prefills and is corrected by cache
- * events and by what each prefill really computed.
+ * The expected content of the prefix cache of one prefill worker, as hashes of prompt
+ * blocks. It is derived from the router's own prefills and corrected by cache events and
+ * by the number of tokens that each prefill actually computed.
  * <p>
- * Blocks that only one prompt had are kept apart and go first: they make up most of a
- * prompt's own part, are hardly ever asked for again, and would otherwise push the shared
- * preambles out of the index though the engine still holds them. Among the rest the least
- * recently used goes first.
+ * Blocks that occurred in only one prompt are kept separately and evicted first. They
+ * make up most of the unshared part of a prompt, are rarely requested again, and would
+ * otherwise displace the shared prefixes from the index although the engine still has
+ * them cached. Within each group the least recently used block is evicted first.
  * <p>
- * Invariant: it never holds more blocks than the cache has room for, so its memory is
- * bounded by the declared cache. Not thread-safe.
+ * Invariant: the index never contains more blocks than the cache has capacity for, so its
+ * memory is bounded by the declared cache size. Not thread-safe.
  */
 public final class PrefixIndex {
 
-	private static final int DEFAULT_BLOCKS = 4096;
+	private static final int DEFAULT_CAPACITY_BLOCKS = 4096;
 
 	private final int capacity;
 
 	private final LongPredicate isShared;
 
-	private final LinkedHashMap<Long, Long> shared = new LinkedHashMap<>();
+	private final LinkedHashMap<Long, Long> sharedBlocks = new LinkedHashMap<>();
 
-	private final LinkedHashMap<Long, Long> single = new LinkedHashMap<>();
+	private final LinkedHashMap<Long, Long> unsharedBlocks = new LinkedHashMap<>();
 
 	private long lastSequence;
 
 	/**
 	 * Creates an empty index.
-	 * @param capacityBlocks the blocks the cache holds; 0 or less if not declared
-	 * @param isShared whether more than one prompt had a block
+	 * @param capacityBlocks the capacity of the cache in blocks; 0 or less if not
+	 * declared
+	 * @param isShared whether a block occurred in more than one prompt
 	 */
 	public PrefixIndex(int capacityBlocks, LongPredicate isShared) {
 		this.isShared = isShared;
-		this.capacity = (capacityBlocks > 0) ? capacityBlocks : DEFAULT_BLOCKS;
+		this.capacity = (capacityBlocks > 0) ? capacityBlocks : DEFAULT_CAPACITY_BLOCKS;
 	}
 
 	/**
-	 * Returns how many leading blocks of a prompt are held. As each hash covers all
-	 * blocks before it, a binary search finds the last one held.
+	 * Returns the number of leading blocks of a prompt that are cached. Each hash covers
+	 * all preceding blocks, so a binary search finds the last cached one.
 	 * @param blocks the hashes of the prompt's leading blocks
 	 * @return the number of leading blocks
 	 */
 	public int match(long[] blocks) {
-		int lo = 0;
-		int hi = blocks.length;
-		while (lo < hi) {
-			int mid = (lo + hi + 1) >>> 1;
-			if (holds(blocks[mid - 1])) {
-				lo = mid;
+		int low = 0;
+		int high = blocks.length;
+		while (low < high) {
+			int middle = (low + high + 1) >>> 1;
+			if (contains(blocks[middle - 1])) {
+				low = middle;
 			}
 			else {
-				hi = mid - 1;
+				high = middle - 1;
 			}
 		}
-		return lo;
+		return low;
 	}
 
 	/**
-	 * Notes that a prompt was read. Its later blocks become the first to go.
+	 * Records that a prompt was prefilled. Of its blocks, the last ones are evicted
+	 * first.
 	 * @param blocks the hashes of the prompt's leading blocks
-	 * @param now the present time in milliseconds
+	 * @param now the current time in milliseconds
 	 */
 	public void recordPrompt(long[] blocks, long now) {
-		int n = Math.min(blocks.length, this.capacity);
-		for (int i = n - 1; i >= 0; i--) {
-			this.single.remove(blocks[i]);
-			this.shared.remove(blocks[i]);
+		int count = Math.min(blocks.length, this.capacity);
+		for (int i = count - 1; i >= 0; i--) {
+			this.unsharedBlocks.remove(blocks[i]);
+			this.sharedBlocks.remove(blocks[i]);
 			put(blocks[i], now);
 		}
-		evict();
+		evictExcess();
 	}
 
 	/**
-	 * Corrects the belief after a prefill found fewer blocks than expected.
+	 * Removes the blocks that a prefill did not find in the cache.
 	 * @param blocks the hashes of the prompt's leading blocks
-	 * @param held the leading blocks that were really held
+	 * @param cachedBlocks the number of leading blocks that were actually cached
 	 */
-	public void correct(long[] blocks, int held) {
-		for (int i = Math.max(0, held); i < blocks.length; i++) {
-			this.shared.remove(blocks[i]);
-			this.single.remove(blocks[i]);
+	public void removeFrom(long[] blocks, int cachedBlocks) {
+		for (int i = Math.max(0, cachedBlocks); i < blocks.length; i++) {
+			this.sharedBlocks.remove(blocks[i]);
+			this.unsharedBlocks.remove(blocks[i]);
 		}
 	}
 
 	/**
-	 * Applies a cache event of the worker. An event older than one applied before is
-	 * dropped. After a gap in the sequence the belief is kept: a wrong belief costs one
-	 * dearer prefill, which corrects it, and forgetting all would cost many.
-	 * @param sequence the number of the event
+	 * Applies a cache event of the worker. An event that is not newer than the last
+	 * applied one is ignored. The index is kept after a gap in the sequence: a wrong
+	 * entry costs one slower prefill, which corrects it, while clearing the index would
+	 * slow down many.
+	 * @param sequence the sequence number of the event
 	 * @param block the hash of the block
 	 * @param stored {@code true} if the block was stored, {@code false} if it was evicted
-	 * @param now the present time in milliseconds
-	 * @param settleMs a block used within this time is not removed: the event that says
-	 * so was sent before the use that brought it back
+	 * @param now the current time in milliseconds
+	 * @param settleMs a block used within this time is not removed, in milliseconds,
+	 * because the eviction event was sent before that use stored the block again
 	 */
 	public void applyCacheEvent(long sequence, long block, boolean stored, long now, long settleMs) {
 		if (sequence <= this.lastSequence) {
@@ -105,91 +108,91 @@
 		}
 		this.lastSequence = sequence;
 		if (stored) {
-			if (!holds(block)) {
+			if (!contains(block)) {
 				put(block, now);
-				evict();
+				evictExcess();
 			}
 		}
 		else {
-			this.shared.computeIfPresent(block, (k, used) -> (now - used > settleMs) ? null : used);
-			this.single.computeIfPresent(block, (k, used) -> (now - used > settleMs) ? null : used);
+			this.sharedBlocks.computeIfPresent(block, (key, usedAt) -> (now - usedAt > settleMs) ? null : usedAt);
+			this.unsharedBlocks.computeIfPresent(block, (key, usedAt) -> (now - usedAt > settleMs) ? null : usedAt);
 		}
 	}
 
 	/**
-	 * Returns whether so many blocks fit without a shared one being pushed out.
-	 * @param blocks the number of blocks
-	 * @return whether there is room
+	 * Returns whether a number of blocks fit without evicting a shared block.
+	 * @param blockCount the number of blocks
+	 * @return whether the blocks fit
 	 */
-	public boolean hasRoom(int blocks) {
-		return this.shared.size() + blocks <= this.capacity;
+	public boolean hasRoom(int blockCount) {
+		return this.sharedBlocks.size() + blockCount <= this.capacity;
 	}
 
 	/**
-	 * Returns how many shared blocks in recent use a prompt would push out.
+	 * Returns the number of recently used shared blocks that a prompt would evict.
 	 * @param blocks the hashes of the prompt's leading blocks
-	 * @param held the leading blocks that are held
-	 * @param since what was not used since this time is no loss, in milliseconds
+	 * @param cachedBlocks the number of leading blocks that are cached
+	 * @param usedSince blocks last used before this time do not count, in milliseconds
 	 * @return the number of blocks
 	 */
-	public int pushedOut(long[] blocks, int held, long since) {
-		int room = this.capacity - this.shared.size();
-		if (blocks.length - held <= room) {
+	public int countEvictedShared(long[] blocks, int cachedBlocks, long usedSince) {
+		int room = this.capacity - this.sharedBlocks.size();
+		if (blocks.length - cachedBlocks <= room) {
 			return 0;
 		}
-		int coming = sharedIn(blocks) - held;
-		if (coming <= room || this.shared.isEmpty()) {
+		int newShared = sharedPrefixLength(blocks) - cachedBlocks;
+		if (newShared <= room || this.sharedBlocks.isEmpty()) {
 			return 0;
 		}
-		long oldest = this.shared.values().iterator().next();
-		return (oldest >= since) ? coming - room : 0;
+		long oldestUse = this.sharedBlocks.values().iterator().next();
+		return (oldestUse >= usedSince) ? newShared - room : 0;
 	}
 
 	/**
-	 * Returns how many leading blocks of a prompt other prompts had too.
+	 * Returns the number of leading blocks of a prompt that other prompts also contain.
 	 * @param blocks the hashes of the prompt's leading blocks
 	 * @return the number of blocks
 	 */
-	public int sharedIn(long[] blocks) {
-		int lo = 0;
-		int hi = blocks.length;
-		while (lo < hi) {
-			int mid = (lo + hi + 1) >>> 1;
-			if (this.isShared.test(blocks[mid - 1])) {
-				lo = mid;
+	public int sharedPrefixLength(long[] blocks) {
+		int low = 0;
+		int high = blocks.length;
+		while (low < high) {
+			int middle = (low + high + 1) >>> 1;
+			if (this.isShared.test(blocks[middle - 1])) {
+				low = middle;
 			}
 			else {
-				hi = mid - 1;
+				high = middle - 1;
 			}
 		}
-		return lo;
+		return low;
 	}
 
 	/**
-	 * Returns how many blocks are believed held.
+	 * Returns the number of blocks in the index.
 	 * @return the number of blocks
 	 */
 	public int size() {
-		return this.shared.size() + this.single.size();
+		return this.sharedBlocks.size() + this.unsharedBlocks.size();
 	}
 
-	private boolean holds(long block) {
-		return this.shared.containsKey(block) || this.single.containsKey(block);
+	private boolean contains(long block) {
+		return this.sharedBlocks.containsKey(block) || this.unsharedBlocks.containsKey(block);
 	}
 
-	private void evict() {
+	private void evictExcess() {
 		while (size() > this.capacity) {
-			LinkedHashMap<Long, Long> from = this.single.isEmpty() ? this.shared : this.single;
-			Long block = from.keySet().iterator().next();
-			Long used = from.remove(block);
-			if (from == this.single && this.isShared.test(block)) {
-				this.shared.put(block, used);
+			LinkedHashMap<Long, Long> source = this.unsharedBlocks.isEmpty() ? this.sharedBlocks : this.unsharedBlocks;
+			Long block = source.keySet().iterator().next();
+			Long usedAt = source.remove(block);
+			if (source == this.unsharedBlocks && this.isShared.test(block)) {
+				this.sharedBlocks.put(block, usedAt);
 			}
 		}
 	}
 
 	private void put(long block, long now) {
-		(this.isShared.test(block) ? this.shared : this.single).put(block, now);
+		(this.isShared.test(block) ? this.sharedBlocks : this.unsharedBlocks).put(block, now);
 	}
 
 }
--- a/src/main/java/io/shallotspur/routing/RendezvousHash.java
+++ b/src/main/java/io/shallotspur/routing/RendezvousHash.java
@@ -6,9 +6,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Highest-random-weight hashing: each key goes to the candidate with the highest score,
- * so that a candidate that comes or goes moves only its own keys. Stateless and
- * thread-safe.
+ * Rendezvous (highest random weight) hashing: each key is owned by the candidate with the
+ * highest score, so that adding or removing a candidate moves only the keys of that
+ * candidate. Stateless and thread-safe.
  */
 public final class RendezvousHash {
 
@@ -31,16 +31,17 @@
 	 * Returns the owner of a key.
 	 * @param key the key
 	 * @param candidates the candidates
-	 * @return the candidate with the highest score, or {@code null} if there is none
+	 * @return the candidate with the highest score, or {@code null} if there are no
+	 * candidates
 	 */
 	public static @Nullable String owner(String key, Collection<String> candidates) {
 		String best = null;
 		long bestScore = 0;
-		for (String c : candidates) {
-			long s = score(key, c);
-			if (best == null || s > bestScore || (s == bestScore && c.compareTo(best) < 0)) {
-				best = c;
-				bestScore = s;
+		for (String candidate : candidates) {
+			long score = score(key, candidate);
+			if (best == null || score > bestScore || (score == bestScore && candidate.compareTo(best) < 0)) {
+				best = candidate;
+				bestScore = score;
 			}
 		}
 		return best;
--- a/src/main/java/io/shallotspur/routing/package-info.java
+++ b/src/main/java/io/shallotspur/routing/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Where work runs: learnt costs, cached prefixes, reservations, and the choice of prefill
- * and decode worker. Pure state; the present time is an argument.
+ * Partition of workers into cells and the state of each prefill and decode worker:
+ * estimated costs, cached prefixes and reserved slots. The classes do no I/O and receive
+ * the current time as an argument.
  */
 @NullMarked
 package io.shallotspur.routing;
