--- a/src/main/java/io/shallotspur/quarantine/CrashState.java
+++ b/src/main/java/io/shallotspur/quarantine/CrashState.java
@@ -1,8 +1,8 @@
 package io.shallotspur.quarantine;
 
 /**
- * What a crash says about a request that was on the worker. The order of the constants is
- * the order of a merge: the later one wins.
+ * What a crash indicates about a request that was running on the worker. When two entries
+ * are merged, the constant declared later takes precedence.
  */
 public enum CrashState {
 
@@ -12,18 +12,18 @@
 	OPEN,
 
 	/**
-	 * The request ran on for a while afterwards, so it hardly caused the crash. It may
-	 * still be one that crashes late.
+	 * The request made progress after the crash, so it is unlikely to have caused it. It
+	 * is not ruled out: some requests crash a worker only after running for a while.
 	 */
 	PROVEN,
 
 	/**
-	 * The request caused the crash, as far as can be known.
+	 * The request is considered the cause of the crash.
 	 */
 	CONVICTED,
 
 	/**
-	 * The request completed whole afterwards, so it did not cause the crash.
+	 * The request ran to completion after the crash, so it did not cause it.
 	 */
 	CLEARED
 
--- a/src/main/java/io/shallotspur/quarantine/CrashSuspects.java
+++ b/src/main/java/io/shallotspur/quarantine/CrashSuspects.java
@@ -13,19 +13,20 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Finds the requests that crash the workers they run on.
+ * Detects poison requests: requests that crash the workers they run on.
  * <p>
- * All requests on a crashed worker become suspects. A request is quarantined when it was
- * present at two crashes and no other request at the later one had been at as many.
- * Because the scheduler never puts two suspects on one worker, this is so at its second
- * crash. If two suspects did meet (nodes that had not told each other yet), neither is
- * convicted: innocent requests are not refused, at the price of one more worker. A
- * suspect that completes whole is cleared; one that ran on for long counts less.
+ * All requests that were running on a crashed worker become suspects. A request is
+ * quarantined once it was running at two crashes and every other request at the later
+ * crash had been present at fewer. The scheduler never places two suspects on one worker,
+ * so a poison request is normally quarantined at its second crash. If two suspects do
+ * share a worker, because their nodes had not yet exchanged entries, neither is
+ * quarantined: this avoids refusing an innocent request and costs one more worker. A
+ * suspect that completes is cleared; one that makes progress for a while weighs less.
  * <p>
- * Invariants: a request that was at one crash is never quarantined; the table is bounded
- * in entries and each entry in time; {@link #merge} is idempotent and commutes.
- * Thread-safe: each method holds the monitor of this object, for a time bounded by the
- * size of the table.
+ * Invariants: a request that was present at one crash only is never quarantined; the
+ * number of entries and the lifetime of each entry are bounded; {@link #merge} is
+ * idempotent and commutative. Thread-safe: each method holds the monitor of this object
+ * for a time bounded by the size of the table.
  */
 public final class CrashSuspects {
 
@@ -46,106 +47,108 @@
 
 	/**
 	 * Creates an empty table.
-	 * @param limits its bounds
+	 * @param limits the bounds of the table
 	 */
 	public CrashSuspects(QuarantineLimits limits) {
 		this.limits = limits;
 	}
 
 	/**
-	 * Takes the crash of a worker.
+	 * Records the crash of a worker.
 	 * @param workerId the worker
-	 * @param runningFingerprints the requests that were on it
+	 * @param runningFingerprints the fingerprints of the requests that were running on it
 	 * @param now the present time in milliseconds
-	 * @return the requests that are quarantined because of it, usually none or one
+	 * @return the fingerprints that are quarantined because of this crash, usually none
+	 * or one
 	 */
 	public synchronized Set<Long> recordCrash(String workerId, Collection<Long> runningFingerprints, long now) {
 		removeExpired(now);
-		Crash c = new Crash(workerId, crashTime(workerId, now), CrashState.OPEN);
-		this.lastLocalCrashAt.put(workerId, c.at());
+		Crash crash = new Crash(workerId, crashTime(workerId, now), CrashState.OPEN);
+		this.lastLocalCrashAt.put(workerId, crash.at());
 		Set<Long> running = new LinkedHashSet<>(runningFingerprints);
-		for (long fp : running) {
-			SuspectEntry e = this.entries.getOrDefault(fp, new SuspectEntry(fp, List.of()));
-			if (e.crashes().stream().noneMatch((o) -> o.matches(c, 0))) {
-				putChanged(e.withCrash(c));
+		for (long fingerprint : running) {
+			SuspectEntry e = this.entries.getOrDefault(fingerprint, new SuspectEntry(fingerprint, List.of()));
+			if (e.crashes().stream().noneMatch((c) -> c.matches(crash, 0))) {
+				putChanged(e.withCrash(crash));
 			}
 		}
-		Set<Long> convicted = quarantineCauses(running);
+		Set<Long> quarantined = quarantineCauses(running);
 		evictExcess();
-		return convicted;
+		return quarantined;
 	}
 
 	/**
-	 * Tells whether a request is refused because it crashes workers.
-	 * @param fp the fingerprint
+	 * Returns whether a request is refused because it crashes workers.
+	 * @param fingerprint the fingerprint of the request
 	 * @param now the present time in milliseconds
-	 * @return {@code true} if it must not be dispatched
+	 * @return {@code true} if the request must not be dispatched
 	 */
-	public synchronized boolean isQuarantined(long fp, long now) {
-		SuspectEntry e = this.entries.get(fp);
+	public synchronized boolean isQuarantined(long fingerprint, long now) {
+		SuspectEntry e = this.entries.get(fingerprint);
 		return e != null && e.quarantined() && !isExpired(e, now);
 	}
 
 	/**
-	 * Tells whether a request was on a worker that crashed and has not completed since.
-	 * No two suspects may be on one worker. Quarantined requests are suspects too.
-	 * @param fp the fingerprint
+	 * Returns whether a request was running on a worker that crashed and has not
+	 * completed since. No two suspects may share a worker. Quarantined requests are also
+	 * suspects.
+	 * @param fingerprint the fingerprint of the request
 	 * @param now the present time in milliseconds
-	 * @return {@code true} if it may have caused a crash
+	 * @return {@code true} if the request may have caused a crash
 	 */
-	public synchronized boolean isSuspect(long fp, long now) {
-		SuspectEntry e = this.entries.get(fp);
+	public synchronized boolean isSuspect(long fingerprint, long now) {
+		SuspectEntry e = this.entries.get(fingerprint);
 		return e != null && e.suspect() && !isExpired(e, now);
 	}
 
 	/**
-	 * Takes the whole completion of a request, which clears it.
-	 * @param fp the fingerprint
+	 * Records that a request ran to completion, which clears it.
+	 * @param fingerprint the fingerprint of the request
 	 * @param now the present time in milliseconds
 	 */
-	public synchronized void recordCompletion(long fp, long now) {
-		SuspectEntry e = this.entries.get(fp);
+	public synchronized void recordCompletion(long fingerprint, long now) {
+		SuspectEntry e = this.entries.get(fingerprint);
 		if (e != null && e.suspect() && !isExpired(e, now)) {
 			putChanged(e.withMinimumState(CrashState.CLEARED));
 		}
 	}
 
 	/**
-	 * Takes a sign that a request did not cause the crashes it was at: it ran on for
-	 * longer than a crash would have taken, but has not completed. It counts less than
-	 * one without such a sign, and is still convicted at a third crash.
-	 * @param fp the fingerprint
+	 * Records that a suspect has run for longer than a crash would have taken, without
+	 * having completed yet. It is then less likely to be the cause than a suspect without
+	 * such progress, but is still quarantined at its third crash.
+	 * @param fingerprint the fingerprint of the request
 	 * @param now the present time in milliseconds
 	 */
-	public synchronized void recordProgress(long fp, long now) {
-		SuspectEntry e = this.entries.get(fp);
+	public synchronized void recordProgress(long fingerprint, long now) {
+		SuspectEntry e = this.entries.get(fingerprint);
 		if (e != null && e.suspect() && !isExpired(e, now)) {
-			SuspectEntry next = e.withMinimumState(CrashState.PROVEN);
-			if (!next.equals(e)) {
-				putChanged(next);
+			SuspectEntry updated = e.withMinimumState(CrashState.PROVEN);
+			if (!updated.equals(e)) {
+				putChanged(updated);
 			}
 		}
 	}
 
 	/**
-	 * Takes what a peer knows.
-	 * @param told the peer's entries
+	 * Merges the entries of a peer.
+	 * @param peerEntries the peer's entries
 	 * @param now the present time in milliseconds
-	 * @return the requests that are quarantined here because of it
+	 * @return the fingerprints that are newly quarantined at this node
 	 */
-	public synchronized Set<Long> merge(Collection<SuspectEntry> told, long now) {
+	public synchronized Set<Long> merge(Collection<SuspectEntry> peerEntries, long now) {
 		removeExpired(now);
 		Set<Long> before = quarantinedFingerprints();
-		Set<Long> touched = new LinkedHashSet<>();
-		for (SuspectEntry t : told) {
-			SuspectEntry old = this.entries.get(t.fingerprint());
-			SuspectEntry e = join(old, t);
+		Set<Long> updated = new LinkedHashSet<>();
+		for (SuspectEntry peerEntry : peerEntries) {
+			SuspectEntry old = this.entries.get(peerEntry.fingerprint());
+			SuspectEntry e = join(old, peerEntry);
 			if (e != old && !isExpired(e, now)) {
 				this.entries.put(e.fingerprint(), e);
-				touched.add(e.fingerprint());
+				updated.add(e.fingerprint());
 			}
 		}
-		quarantineCauses(touched);
+		quarantineCauses(updated);
 		evictExcess();
 		Set<Long> after = quarantinedFingerprints();
 		after.removeAll(before);
@@ -153,30 +156,34 @@
 	}
 
 	/**
-	 * Returns what is known, for operators and for a peer that starts.
+	 * Returns a snapshot of all entries, for operators and for peers that start.
 	 * @param now the present time in milliseconds
 	 * @return the entries, the one with the latest crash first
 	 */
 	public synchronized List<SuspectEntry> entries(long now) {
 		removeExpired(now);
-		List<SuspectEntry> l = new ArrayList<>(this.entries.values());
-		l.sort(Comparator.comparingLong(SuspectEntry::lastCrashAt)
+		List<SuspectEntry> sorted = new ArrayList<>(this.entries.values());
+		sorted.sort(Comparator.comparingLong(SuspectEntry::lastCrashAt)
 			.reversed()
 			.thenComparingLong(SuspectEntry::fingerprint));
-		return l;
+		return sorted;
 	}
 
 	/**
-	 * Returns the entries that changed here since the last call, to be told to all peers
-	 * at once. What a peer told is not among them, unless it led to a verdict here.
+	 * Returns the entries that changed at this node since the last call, which are to be
+	 * sent to all peers immediately. Entries merged from a peer are not included unless
+	 * they led to a quarantine here.
 	 * @param now the present time in milliseconds
 	 * @return the entries, at most as many as the table holds
 	 */
 	public synchronized List<SuspectEntry> drainChanges(long now) {
 		removeExpired(now);
-		List<SuspectEntry> l = this.changedFingerprints.stream().filter(this.entries::containsKey).map(this.entries::get).toList();
+		List<SuspectEntry> drained = this.changedFingerprints.stream()
+			.filter(this.entries::containsKey)
+			.map(this.entries::get)
+			.toList();
 		this.changedFingerprints.clear();
-		return l;
+		return drained;
 	}
 
 	private SuspectEntry join(@Nullable SuspectEntry ours, SuspectEntry theirs) {
@@ -184,57 +191,64 @@
 	}
 
 	private long crashTime(String workerId, long now) {
-		// A peer that shares the worker may have told of this very crash before this node
-		// noticed it. Counted twice, one crash would convict all that were on the worker;
-		// so the peer's observation is adopted. Two crashes noticed by this node itself
-		// are always two.
+		// A peer that shares the worker may have reported this crash before this node
+		// detected it. If the crash were counted twice, every request on the worker would
+		// be quarantined, so the time reported by the peer is used. Two crashes detected
+		// by this node itself are always distinct.
 		Long last = this.lastLocalCrashAt.get(workerId);
-		Crash here = new Crash(workerId, now, CrashState.OPEN);
-		long told = this.entries.values()
+		Crash local = new Crash(workerId, now, CrashState.OPEN);
+		long reported = this.entries.values()
 			.stream()
 			.flatMap((e) -> e.crashes().stream())
-			.filter((c) -> c.matches(here, this.limits.sameCrashWindowMs()) && (last == null || c.at() > last))
+			.filter((c) -> c.matches(local, this.limits.sameCrashWindowMs()) && (last == null || c.at() > last))
 			.mapToLong(Crash::at)
 			.max()
 			.orElse(now);
-		return (last != null && told <= last) ? last + 1 : told;
+		return (last != null && reported <= last) ? last + 1 : reported;
 	}
 
 	private Set<Long> quarantineCauses(Set<Long> candidates) {
-		Set<Long> l = new LinkedHashSet<>();
-		for (long fp : candidates) {
-			SuspectEntry e = this.entries.get(fp);
+		Set<Long> causes = new LinkedHashSet<>();
+		for (long fingerprint : candidates) {
+			SuspectEntry e = this.entries.get(fingerprint);
 			if (e != null && !e.quarantined() && e.unclearedCrashCount() > 1 && isMostLikelyCause(e)) {
-				l.add(fp);
+				causes.add(fingerprint);
 			}
 		}
-		l.forEach((fp) -> putChanged(this.entries.get(fp).withLastCrashAttributed()));
-		return l;
+		causes.forEach((fingerprint) -> putChanged(this.entries.get(fingerprint).withLastCrashAttributed()));
+		return causes;
 	}
 
 	private boolean isMostLikelyCause(SuspectEntry e) {
 		Crash last = e.crashes().get(e.crashes().size() - 1);
 		long open = countCrashesBefore(e, last, CrashState.OPEN);
-		long all = countCrashesBefore(e, last, CrashState.CONVICTED);
-		// A request that ran on after its first crash is taken for a neighbour. If it
-		// is at a third one all the same, it is one that crashes late.
-		if (last.state() == CrashState.CLEARED || (open == 0 && all < 2)) {
+		long uncleared = countCrashesBefore(e, last, CrashState.CONVICTED);
+		// A request that made progress after its first crash is assumed to be innocent.
+		// If it is present at a third crash nevertheless, it crashes workers late.
+		if (last.state() == CrashState.CLEARED || (open == 0 && uncleared < 2)) {
 			return false;
 		}
-		return this.entries.values().stream().filter((o) -> o.fingerprint() != e.fingerprint()).allMatch((o) -> {
-			long rivalOpen = countCrashesBefore(o, last, CrashState.OPEN);
-			return rivalOpen < open || (rivalOpen == open && countCrashesBefore(o, last, CrashState.CONVICTED) < all);
-		});
+		return this.entries.values()
+			.stream()
+			.filter((other) -> other.fingerprint() != e.fingerprint())
+			.allMatch((other) -> {
+				long otherOpen = countCrashesBefore(other, last, CrashState.OPEN);
+				return otherOpen < open
+						|| (otherOpen == open && countCrashesBefore(other, last, CrashState.CONVICTED) < uncleared);
+			});
 	}
 
-	private long countCrashesBefore(SuspectEntry e, Crash c, CrashState state) {
-		return e.countCrashesBefore(c, state, this.limits.sameCrashWindowMs());
+	private long countCrashesBefore(SuspectEntry e, Crash crash, CrashState maxState) {
+		return e.countCrashesBefore(crash, maxState, this.limits.sameCrashWindowMs());
 	}
 
 	private Set<Long> quarantinedFingerprints() {
-		Set<Long> l = new LinkedHashSet<>();
-		this.entries.values().stream().filter(SuspectEntry::quarantined).forEach((e) -> l.add(e.fingerprint()));
-		return l;
+		Set<Long> fingerprints = new LinkedHashSet<>();
+		this.entries.values()
+			.stream()
+			.filter(SuspectEntry::quarantined)
+			.forEach((e) -> fingerprints.add(e.fingerprint()));
+		return fingerprints;
 	}
 
 	private void putChanged(SuspectEntry e) {
@@ -243,8 +257,8 @@
 	}
 
 	private boolean isExpired(SuspectEntry e, long now) {
-		long ttl = e.quarantined() ? this.limits.quarantineTtlMs() : this.limits.suspectTtlMs();
-		return e.lastCrashAt() + ttl <= now;
+		long ttlMs = e.quarantined() ? this.limits.quarantineTtlMs() : this.limits.suspectTtlMs();
+		return e.lastCrashAt() + ttlMs <= now;
 	}
 
 	private void removeExpired(long now) {
@@ -254,16 +268,16 @@
 	}
 
 	private void evictExcess() {
-		// A flood of crashes must not fill the memory of the node: suspects go before
-		// those that are refused, the oldest first.
-		int over = this.entries.size() - this.limits.maxEntries();
-		if (over <= 0) {
+		// Bounds memory when many workers crash: suspects are evicted before quarantined
+		// requests, those with the oldest crash first.
+		int excess = this.entries.size() - this.limits.maxEntries();
+		if (excess <= 0) {
 			return;
 		}
 		this.entries.values()
 			.stream()
 			.sorted(Comparator.comparing(SuspectEntry::quarantined).thenComparingLong(SuspectEntry::lastCrashAt))
-			.limit(over)
+			.limit(excess)
 			.map(SuspectEntry::fingerprint)
 			.toList()
 			.forEach(this.entries::remove);
--- a/src/main/java/io/shallotspur/quarantine/SuspectEntry.java
+++ b/src/main/java/io/shallotspur/quarantine/SuspectEntry.java
@@ -5,45 +5,44 @@
 import java.util.List;
 
 /**
- * What is known of one request that was on crashed workers. Immutable.
+ * The crash history of one request that was running on crashed workers. Immutable.
  * <p>
- * Invariant: crashes are in order of their times and at most {@link #MAX_CRASHES}, the
- * latest ones.
+ * Invariant: crashes are sorted by time; only the latest {@link #MAX_CRASHES} are kept.
  *
- * @param fingerprint hash of the customer and the body
- * @param crashes the crashes it was present at
+ * @param fingerprint hash of the customer and the request body
+ * @param crashes the crashes at which the request was running on the worker
  */
 public record SuspectEntry(long fingerprint, List<Crash> crashes) {
 
 	/**
-	 * The most crashes kept of one request.
+	 * The maximum number of crashes kept for one request.
 	 */
 	public static final int MAX_CRASHES = 4;
 
 	public SuspectEntry {
-		List<Crash> l = new ArrayList<>(crashes);
-		l.sort(Comparator.comparingLong(Crash::at).thenComparing(Crash::worker));
-		crashes = List.copyOf(l.subList(Math.max(0, l.size() - MAX_CRASHES), l.size()));
+		List<Crash> sorted = new ArrayList<>(crashes);
+		sorted.sort(Comparator.comparingLong(Crash::at).thenComparing(Crash::worker));
+		crashes = List.copyOf(sorted.subList(Math.max(0, sorted.size() - MAX_CRASHES), sorted.size()));
 	}
 
 	/**
-	 * Tells whether the request may have caused a crash.
-	 * @return {@code true} if a crash of it is not cleared
+	 * Returns whether the request may have caused a crash.
+	 * @return {@code true} if at least one crash is not cleared
 	 */
 	public boolean suspect() {
 		return this.crashes.stream().anyMatch((c) -> c.state() != CrashState.CLEARED);
 	}
 
 	/**
-	 * Tells whether the request is refused.
-	 * @return {@code true} if it is held to be the cause of a crash
+	 * Returns whether the request is refused.
+	 * @return {@code true} if the request is considered the cause of a crash
 	 */
 	public boolean quarantined() {
 		return this.crashes.stream().anyMatch((c) -> c.state() == CrashState.CONVICTED);
 	}
 
 	/**
-	 * Counts the crashes that are not cleared.
+	 * Returns the number of crashes that are not cleared.
 	 * @return the number of crashes
 	 */
 	public int unclearedCrashCount() {
@@ -51,37 +50,37 @@
 	}
 
 	/**
-	 * Returns when the last crash was.
-	 * @return the time in milliseconds, or {@link Long#MIN_VALUE} if there is none
+	 * Returns the time of the last crash.
+	 * @return the time in milliseconds, or {@link Long#MIN_VALUE} if there is no crash
 	 */
 	public long lastCrashAt() {
 		return this.crashes.isEmpty() ? Long.MIN_VALUE : this.crashes.get(this.crashes.size() - 1).at();
 	}
 
 	/**
-	 * Returns the entry with one more crash.
-	 * @param c the crash
+	 * Returns this entry with a crash added.
+	 * @param crash the crash
 	 * @return a new entry
 	 */
-	public SuspectEntry withCrash(Crash c) {
-		List<Crash> l = new ArrayList<>(this.crashes);
-		l.add(c);
-		return new SuspectEntry(this.fingerprint, l);
+	public SuspectEntry withCrash(Crash crash) {
+		List<Crash> added = new ArrayList<>(this.crashes);
+		added.add(crash);
+		return new SuspectEntry(this.fingerprint, added);
 	}
 
 	/**
-	 * Returns the entry with its last crash held against it.
+	 * Returns this entry with its last crash attributed to the request.
 	 * @return a new entry
 	 */
 	public SuspectEntry withLastCrashAttributed() {
-		List<Crash> l = new ArrayList<>(this.crashes);
-		l.set(l.size() - 1, l.get(l.size() - 1).withMinimumState(CrashState.CONVICTED));
-		return new SuspectEntry(this.fingerprint, l);
+		List<Crash> updated = new ArrayList<>(this.crashes);
+		updated.set(updated.size() - 1, updated.get(updated.size() - 1).withMinimumState(CrashState.CONVICTED));
+		return new SuspectEntry(this.fingerprint, updated);
 	}
 
 	/**
-	 * Returns the entry with all crashes at least in a state.
-	 * @param state the state
+	 * Returns this entry with every lower state raised to the given one.
+	 * @param state the lowest state of a crash in the result
 	 * @return a new entry
 	 */
 	public SuspectEntry withMinimumState(CrashState state) {
@@ -89,54 +88,56 @@
 	}
 
 	/**
-	 * Counts the crashes before another one.
-	 * @param c the other crash
-	 * @param state counts those that are not beyond this state
-	 * @param windowMs how far two observations of one crash may be apart, in milliseconds
-	 * @return the number of crashes; 0 if the request was not at that crash
+	 * Counts the crashes before a given one.
+	 * @param crash the crash to compare with
+	 * @param maxState the highest state of the crashes that are counted
+	 * @param windowMs the largest difference between the times of two observations of one
+	 * crash, in milliseconds
+	 * @return the number of crashes; 0 if the request was not present at the given crash
 	 */
-	public long countCrashesBefore(Crash c, CrashState state, long windowMs) {
+	public long countCrashesBefore(Crash crash, CrashState maxState, long windowMs) {
 		long at = this.crashes.stream()
-			.filter((o) -> o.matches(c, windowMs))
+			.filter((c) -> c.matches(crash, windowMs))
 			.mapToLong(Crash::at)
 			.max()
 			.orElse(Long.MIN_VALUE);
-		return this.crashes.stream().filter((o) -> o.at() < at && o.state().compareTo(state) <= 0).count();
+		return this.crashes.stream().filter((c) -> c.at() < at && c.state().compareTo(maxState) <= 0).count();
 	}
 
 	/**
-	 * Joins what two nodes know. Idempotent; the order in which entries arrive makes no
-	 * difference beyond the bound on crashes.
+	 * Merges the entries of two nodes. Idempotent and, apart from the bound on the number
+	 * of crashes, independent of the order in which entries arrive.
 	 * @param other the other node's entry for the same request
-	 * @param windowMs how far two observations of one crash may be apart, in milliseconds
-	 * @return this if nothing is new, else a new entry
+	 * @param windowMs the largest difference between the times of two observations of one
+	 * crash, in milliseconds
+	 * @return this instance if the other entry adds nothing, otherwise a new one
 	 */
 	public SuspectEntry merge(SuspectEntry other, long windowMs) {
-		List<Crash> l = new ArrayList<>(this.crashes);
+		List<Crash> merged = new ArrayList<>(this.crashes);
 		for (Crash c : other.crashes) {
-			int i = indexOfMatch(l, c, other.crashes, windowMs);
+			int i = indexOfMatch(merged, c, other.crashes, windowMs);
 			if (i < 0) {
-				l.add(c);
+				merged.add(c);
 			}
 			else {
-				l.set(i, l.get(i).withMinimumState(c.state()));
+				merged.set(i, merged.get(i).withMinimumState(c.state()));
 			}
 		}
-		SuspectEntry e = new SuspectEntry(this.fingerprint, l);
+		SuspectEntry e = new SuspectEntry(this.fingerprint, merged);
 		return e.equals(this) ? this : e;
 	}
 
-	private static int indexOfMatch(List<Crash> ours, Crash c, List<Crash> theirs, long windowMs) {
+	private static int indexOfMatch(List<Crash> ours, Crash crash, List<Crash> theirs, long windowMs) {
 		for (int i = 0; i < ours.size(); i++) {
-			if (ours.get(i).matches(c, 0)) {
+			if (ours.get(i).matches(crash, 0)) {
 				return i;
 			}
 		}
 		for (int i = 0; i < ours.size(); i++) {
-			Crash o = ours.get(i);
-			// A crash that the other node lists apart is another crash of that worker,
-			// however close in time.
-			if (o.matches(c, windowMs) && theirs.stream().noneMatch((t) -> t.matches(o, 0))) {
+			Crash our = ours.get(i);
+			// A crash that the other node lists separately is another crash of the same
+			// worker, however close in time.
+			if (our.matches(crash, windowMs) && theirs.stream().noneMatch((c) -> c.matches(our, 0))) {
 				return i;
 			}
 		}
--- a/src/main/java/io/shallotspur/quarantine/SuspectsRequest.java
+++ b/src/main/java/io/shallotspur/quarantine/SuspectsRequest.java
@@ -3,10 +3,10 @@
 import io.shallotspur.port.PeerMessage;
 
 /**
- * Asks a peer for all it knows of suspects; sent by a node that starts, and now and then
- * to mend what a lost message left out. Immutable.
+ * Requests all suspect entries of a peer. Sent when a node starts, and periodically to
+ * recover entries whose update was lost. Immutable.
  *
- * @param node the asking node, for logs
+ * @param node the requesting node, for logs
  */
 public record SuspectsRequest(String node) implements PeerMessage {
 
--- a/src/main/java/io/shallotspur/quarantine/SuspectsUpdate.java
+++ b/src/main/java/io/shallotspur/quarantine/SuspectsUpdate.java
@@ -5,10 +5,10 @@
 import io.shallotspur.port.PeerMessage;
 
 /**
- * Tells peers of suspects and quarantined requests, at once after a crash; also the
- * answer to {@link SuspectsRequest}. Immutable.
+ * Sends entries of suspects and quarantined requests to a peer, either immediately after
+ * they changed or in response to a {@link SuspectsRequest}. Immutable.
  *
- * @param entries what the sender knows
+ * @param entries the sender's entries
  */
 public record SuspectsUpdate(List<SuspectEntry> entries) implements PeerMessage {
 
--- a/src/main/java/io/shallotspur/quarantine/package-info.java
+++ b/src/main/java/io/shallotspur/quarantine/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Requests that crash what runs them: who is suspected, who is refused, and what peers
- * tell each other about it.
+ * Detection and quarantine of requests that crash their workers, and the messages by
+ * which nodes exchange suspects.
  */
 @NullMarked
 package io.shallotspur.quarantine;
--- a/src/test/java/io/shallotspur/quarantine/CrashSuspectsTests.java
+++ b/src/test/java/io/shallotspur/quarantine/CrashSuspectsTests.java
@@ -14,19 +14,20 @@
 	private final CrashSuspects suspects = new CrashSuspects();
 
 	@Test
-	void secondCrashConvictsTheSuspectAndNoNeighbour() {
-		// A request kills its engine, is retried elsewhere and kills that one too. Its
-		// caller is refused; those who shared the engines notice a retry at most.
+	void secondCrashQuarantinesOnlyThePoisonRequest() {
+		// A request crashes its worker, is retried on another one and crashes that too.
+		// It
+		// is quarantined; the requests that shared the workers are retried at most.
 		assertThat(this.suspects.recordCrash("w1", List.of(1L, POISON, 2L), 1_000)).isEmpty();
 		assertThat(this.suspects.isSuspect(1, 1_000)).isTrue();
 		assertThat(this.suspects.recordCrash("w2", List.of(3L, POISON), 2_000)).containsExactly(POISON);
 		assertThat(this.suspects.isQuarantined(POISON, 2_000)).isTrue();
-		assertThat(List.of(1L, 2L, 3L)).noneMatch((fp) -> this.suspects.isQuarantined(fp, 2_000));
+		assertThat(List.of(1L, 2L, 3L)).noneMatch((fingerprint) -> this.suspects.isQuarantined(fingerprint, 2_000));
 		assertThat(this.suspects.isSuspect(3, 2_000)).isTrue();
 	}
 
 	@Test
-	void completionClears() {
+	void completionClearsSuspect() {
 		this.suspects.recordCrash("w1", List.of(1L, POISON), 0);
 		this.suspects.recordCompletion(1, 100);
 		assertThat(this.suspects.isSuspect(1, 100)).isFalse();
@@ -34,9 +35,9 @@
 	}
 
 	@Test
-	void twoSuspectsThatMeetAreNotConvicted() {
-		// Two nodes that have not told each other yet put two suspects on one worker.
-		// Convicting both would refuse an innocent caller for an hour.
+	void suspectsOnTheSameWorkerAreNotQuarantined() {
+		// Two nodes that have not exchanged their suspects yet place them on one worker.
+		// Quarantining both would refuse an innocent request for an hour.
 		this.suspects.recordCrash("w1", List.of(1L, POISON), 0);
 		assertThat(this.suspects.recordCrash("w2", List.of(1L, POISON), 5_000)).isEmpty();
 		assertThat(this.suspects.recordCrash("w3", List.of(POISON), 9_000)).containsExactly(POISON);
@@ -44,10 +45,11 @@
 	}
 
 	@Test
-	void neighboursThatRanOnDoNotHideTheCause() {
-		// After the first crash the neighbours run on for long answers and share a worker
-		// with the poison again. Did they count as much, nobody would be convicted and
-		// worker after worker would be lost.
+	void suspectsWithProgressDoNotHideThePoisonRequest() {
+		// After the first crash, the other requests continue to generate long responses
+		// and
+		// share a worker with the poison request again. If they weighed as much as the
+		// poison request, none would be quarantined and further workers would crash.
 		this.suspects.recordCrash("w1", List.of(1L, 2L, POISON), 0);
 		this.suspects.recordProgress(1, 1_000);
 		this.suspects.recordProgress(2, 1_000);
@@ -56,9 +58,9 @@
 	}
 
 	@Test
-	void requestThatCrashesLateIsConvictedAtItsThirdCrash() {
-		// It runs on for longer each time than is taken for a proof, and its caller sends
-		// it again as a new request.
+	void requestThatCrashesLateIsQuarantinedAtItsThirdCrash() {
+		// Each time, the request runs long enough to be recorded as making progress, and
+		// its caller resends it as a new request.
 		for (int i = 0; i < 2; i++) {
 			assertThat(this.suspects.recordCrash("w" + i, List.of(POISON, 10L + i), i * 9_000L)).isEmpty();
 			this.suspects.recordProgress(POISON, i * 9_000L + 1_000);
@@ -68,7 +70,7 @@
 	}
 
 	@Test
-	void neighbourThatRanOnIsNotConvictedForAnother() {
+	void suspectWithProgressIsNotQuarantinedForAnotherRequest() {
 		this.suspects.recordCrash("w1", List.of(1L, 99L), 0);
 		this.suspects.recordProgress(1, 1_000);
 		assertThat(this.suspects.recordCrash("w2", List.of(1L, POISON), 5_000)).isEmpty();
@@ -76,9 +78,9 @@
 	}
 
 	@Test
-	void oneCrashNoticedByTwoNodesCountsOnce() {
-		// Two entry VMs share a plain worker and each notices its crash. If that counted
-		// as two crashes, all callers of the worker would be refused.
+	void crashDetectedByTwoNodesCountsOnce() {
+		// Two entry VMs share a plain worker and both detect its crash. If it counted as
+		// two crashes, every request on the worker would be quarantined.
 		CrashSuspects peer = new CrashSuspects();
 		peer.recordCrash("w1", List.of(1L), 1_000);
 		this.suspects.merge(peer.drainChanges(1_000), 1_050);
@@ -88,13 +90,13 @@
 	}
 
 	@Test
-	void workerThatCrashesTwiceAtOnceCountsTwice() {
+	void twoCrashesOfAWorkerInQuickSuccessionCountTwice() {
 		this.suspects.recordCrash("w1", List.of(POISON, 1L), 1_000);
 		assertThat(this.suspects.recordCrash("w1", List.of(POISON), 1_500)).containsExactly(POISON);
 	}
 
 	@Test
-	void resendThroughAnotherNodeIsConvictedAtItsSecondCrash() {
+	void requestResentThroughAnotherNodeIsQuarantinedAtItsSecondCrash() {
 		CrashSuspects peer = new CrashSuspects();
 		peer.recordCrash("w1", List.of(1L, POISON), 1_000);
 		this.suspects.merge(peer.drainChanges(1_000), 1_010);
@@ -105,9 +107,9 @@
 	}
 
 	@Test
-	void crashesSeenApartConvictWhenTold() {
-		// The caller sent the request to two nodes at once and each lost a worker before
-		// it heard of the other.
+	void crashesDetectedByDifferentNodesQuarantineAfterMerge() {
+		// The caller sent the request to two nodes concurrently, and each lost a worker
+		// before it received the suspects of the other.
 		CrashSuspects peer = new CrashSuspects();
 		peer.recordCrash("w1", List.of(1L, POISON), 1_000);
 		this.suspects.recordCrash("w2", List.of(2L, POISON), 1_010);
@@ -116,28 +118,28 @@
 	}
 
 	@Test
-	void clearedStaysClearedWhenAnOldEntryComesLate() {
+	void staleEntryDoesNotRevertClearedSuspect() {
 		this.suspects.recordCrash("w1", List.of(1L), 0);
-		List<SuspectEntry> old = this.suspects.drainChanges(0);
+		List<SuspectEntry> stale = this.suspects.drainChanges(0);
 		this.suspects.recordCompletion(1, 10);
-		this.suspects.merge(old, 20);
+		this.suspects.merge(stale, 20);
 		assertThat(this.suspects.isSuspect(1, 20)).isFalse();
 	}
 
 	@Test
 	void tableIsBoundedInMemoryAndTime() {
-		CrashSuspects s = new CrashSuspects(new QuarantineLimits(10, 1_000, 5_000, 10));
-		s.recordCrash("w1", List.of(POISON), 0);
-		s.recordCrash("w2", List.of(POISON), 100);
+		CrashSuspects bounded = new CrashSuspects(new QuarantineLimits(10, 1_000, 5_000, 10));
+		bounded.recordCrash("w1", List.of(POISON), 0);
+		bounded.recordCrash("w2", List.of(POISON), 100);
 		for (long i = 0; i < 100; i++) {
-			s.recordCrash("w" + i, List.of(1_000 + i), 200 + i);
+			bounded.recordCrash("w" + i, List.of(1_000 + i), 200 + i);
 		}
-		assertThat(s.entries(300)).hasSize(10);
-		assertThat(s.isQuarantined(POISON, 300)).isTrue();
-		assertThat(s.entries(1_400)).extracting(SuspectEntry::fingerprint).containsExactly(POISON);
-		assertThat(s.isQuarantined(POISON, 5_099)).isTrue();
-		assertThat(s.isQuarantined(POISON, 5_100)).isFalse();
-		assertThat(Set.copyOf(s.entries(5_100))).isEmpty();
+		assertThat(bounded.entries(300)).hasSize(10);
+		assertThat(bounded.isQuarantined(POISON, 300)).isTrue();
+		assertThat(bounded.entries(1_400)).extracting(SuspectEntry::fingerprint).containsExactly(POISON);
+		assertThat(bounded.isQuarantined(POISON, 5_099)).isTrue();
+		assertThat(bounded.isQuarantined(POISON, 5_100)).isFalse();
+		assertThat(Set.copyOf(bounded.entries(5_100))).isEmpty();
 	}
 
 }
