--- a/src/main/java/io/shallotspur/plain/CallState.java
+++ b/src/main/java/io/shallotspur/plain/CallState.java
@@ -5,9 +5,9 @@
 import io.shallotspur.admission.FairQueue;
 
 /**
- * A call with what is held for it. Not thread-safe.
+ * The scheduling state of a call. Not thread-safe.
  * <p>
- * Invariant: a worker is named exactly while an attempt runs.
+ * Invariant: {@code worker} is set exactly while an attempt is running.
  */
 final class CallState implements FairQueue.Item {
 
--- a/src/main/java/io/shallotspur/plain/PlainAction.java
+++ b/src/main/java/io/shallotspur/plain/PlainAction.java
@@ -3,16 +3,16 @@
 import io.shallotspur.outcome.Refusal;
 
 /**
- * What the scheduler wants done. All actions are immutable.
+ * An action that the scheduler requests. All actions are immutable.
  */
 public sealed interface PlainAction {
 
 	/**
-	 * Send the call to a worker. A call that may not be repeated is written to the ledger
-	 * first.
+	 * Send the call to a worker. A call that is not repeatable is first written to the
+	 * ledger.
 	 *
-	 * @param requestId the request
-	 * @param attempt unique among the attempts of the scheduler
+	 * @param requestId the id of the call
+	 * @param attempt the id of the attempt, unique within the scheduler
 	 * @param workerId the worker
 	 */
 	record StartCall(String requestId, long attempt, String workerId) implements PlainAction {
@@ -20,10 +20,10 @@
 	}
 
 	/**
-	 * Give up an attempt.
+	 * Cancel an attempt.
 	 *
-	 * @param requestId the request
-	 * @param attempt unique among the attempts of the scheduler
+	 * @param requestId the id of the call
+	 * @param attempt the id of the attempt, unique within the scheduler
 	 * @param workerId the worker
 	 */
 	record CancelCall(String requestId, long attempt, String workerId) implements PlainAction {
@@ -31,10 +31,10 @@
 	}
 
 	/**
-	 * End the call without an answer.
+	 * End the call without a response.
 	 *
-	 * @param requestId the request
-	 * @param refusal what the caller is told
+	 * @param requestId the id of the call
+	 * @param refusal the refusal to send to the caller
 	 */
 	record Refuse(String requestId, Refusal refusal) implements PlainAction {
 
--- a/src/main/java/io/shallotspur/plain/PlainEvent.java
+++ b/src/main/java/io/shallotspur/plain/PlainEvent.java
@@ -4,7 +4,8 @@
 import io.shallotspur.fleet.Worker;
 
 /**
- * Something that happened to the calls of a plain upstream. All events are immutable.
+ * An event that concerns the calls or the workers of a plain upstream. All events are
+ * immutable.
  */
 public sealed interface PlainEvent {
 
@@ -18,43 +19,43 @@
 	}
 
 	/**
-	 * The caller left.
+	 * The caller disconnected.
 	 *
-	 * @param requestId the call
+	 * @param requestId the id of the call
 	 */
 	record CallerGone(String requestId) implements PlainEvent {
 
 	}
 
 	/**
-	 * The worker answered.
+	 * The worker sent its response.
 	 *
-	 * @param attempt the attempt
+	 * @param attempt the id of the attempt
 	 */
 	record CallCompleted(long attempt) implements PlainEvent {
 
 	}
 
 	/**
-	 * The attempt ended and the worker surely did not run it.
+	 * The attempt failed and the worker certainly did not run the call.
 	 *
-	 * @param attempt the attempt
+	 * @param attempt the id of the attempt
 	 */
 	record CallNotRun(long attempt) implements PlainEvent {
 
 	}
 
 	/**
-	 * The attempt ended and the worker may have run it.
+	 * The attempt failed and the worker may have run the call.
 	 *
-	 * @param attempt the attempt
+	 * @param attempt the id of the attempt
 	 */
 	record CallOutcomeUnknown(long attempt) implements PlainEvent {
 
 	}
 
 	/**
-	 * A worker joined or came back.
+	 * A worker became available, for the first time or again.
 	 *
 	 * @param worker the worker
 	 */
@@ -63,7 +64,7 @@
 	}
 
 	/**
-	 * A worker died; calls on it are lost.
+	 * A worker failed; the attempts running on it are lost.
 	 *
 	 * @param workerId the worker
 	 */
@@ -72,7 +73,7 @@
 	}
 
 	/**
-	 * A worker is leaving: it gets no new calls.
+	 * A worker is draining: it receives no new calls.
 	 *
 	 * @param workerId the worker
 	 */
@@ -81,16 +82,16 @@
 	}
 
 	/**
-	 * Other contracts are in force.
+	 * The set of contracts in force changed.
 	 *
-	 * @param contracts all contracts
+	 * @param contracts all contracts in force
 	 */
 	record ContractsChanged(ContractSet contracts) implements PlainEvent {
 
 	}
 
 	/**
-	 * The time that {@link PlainScheduler#nextWake(long)} asked for has come.
+	 * The time returned by {@link PlainScheduler#nextWake(long)} was reached.
 	 */
 	record Tick() implements PlainEvent {
 
--- a/src/main/java/io/shallotspur/plain/PlainScheduler.java
+++ b/src/main/java/io/shallotspur/plain/PlainScheduler.java
@@ -3,30 +3,31 @@
 import java.util.function.Consumer;
 
 /**
- * Decides which call to a plain upstream runs where and when. The live node and the
- * replay drive the same implementation.
+ * Decides when and on which worker the calls to a plain upstream run. The live node and
+ * the replay use the same implementation.
  * <p>
- * Implementations are not thread-safe: one thread at a time delivers events, in order of
- * {@code now}. They read no clock, start no thread and do no input or output.
+ * Implementations are not thread-safe: events are delivered by one thread at a time, in
+ * order of {@code now}. Implementations read no clock, start no threads and perform no
+ * input or output.
  * <p>
- * Invariants: a call that may not be repeated is given to one worker at most, unless an
- * attempt surely did not run ({@link PlainEvent.CallNotRun}); each call ends exactly
- * once.
+ * Invariants: a call that is not repeatable is sent to at most one worker, except after
+ * an attempt that certainly did not run ({@link PlainEvent.CallNotRun}); each call ends
+ * exactly once.
  */
 public interface PlainScheduler {
 
 	/**
-	 * Takes one event.
-	 * @param event what happened
+	 * Handles one event.
+	 * @param event the event
 	 * @param now the present time in milliseconds
-	 * @param out receives the actions to be done, in order
+	 * @param out receives the resulting actions, in the order in which to perform them
 	 */
 	void handle(PlainEvent event, long now, Consumer<PlainAction> out);
 
 	/**
-	 * Returns when a {@link PlainEvent.Tick} is due even if nothing else happens.
+	 * Returns when a {@link PlainEvent.Tick} is due if no other event occurs before.
 	 * @param now the present time in milliseconds
-	 * @return the time in milliseconds, or {@link Long#MAX_VALUE} if none is needed
+	 * @return the time in milliseconds, or {@link Long#MAX_VALUE} if none is due
 	 */
 	long nextWake(long now);
 
--- a/src/main/java/io/shallotspur/plain/PlainSettings.java
+++ b/src/main/java/io/shallotspur/plain/PlainSettings.java
@@ -3,20 +3,21 @@
 /**
  * Settings of {@link StdPlainScheduler}. Immutable.
  *
- * @param queueLimit the most calls that wait, default 4096
- * @param lookahead the most waiting calls that one decision looks at, default 16
- * @param initialConcurrency calls at a time to a worker that declares no limit, until learnt,
+ * @param queueLimit the maximum number of queued calls, default 4096
+ * @param lookahead the maximum number of queued calls examined per decision, default 16
+ * @param initialConcurrency the initial concurrency limit of a worker that declares none,
  * default 8
- * @param initialServiceMs the length of a call assumed until learnt, default 20 ms
- * @param latencyTolerance how many times its best latency a worker may take before it gets fewer
- * calls at a time, default 2
- * @param retryRatio retries earned per first try, default 0.1
- * @param minRetries retries a customer may have in ten seconds however few first tries
- * it had, default 24
- * @param maxAttempts the most tries of one call, default 3
+ * @param initialServiceMs the service time assumed before the first measurement, default
+ * 20 ms
+ * @param latencyTolerance the ratio of average to baseline latency above which the
+ * concurrency limit of a worker is decreased, default 2
+ * @param retryRatio retries allowed per first attempt, default 0.1
+ * @param minRetries retries allowed per customer in ten seconds regardless of the number
+ * of first attempts, default 24
+ * @param maxAttempts the maximum number of attempts per call, default 3
  */
-public record PlainSettings(int queueLimit, int lookahead, int initialConcurrency, double initialServiceMs, double latencyTolerance,
-		double retryRatio, double minRetries, int maxAttempts) {
+public record PlainSettings(int queueLimit, int lookahead, int initialConcurrency, double initialServiceMs,
+		double latencyTolerance, double retryRatio, double minRetries, int maxAttempts) {
 
 	/**
 	 * Returns the documented defaults.
--- a/src/main/java/io/shallotspur/plain/PlainWorker.java
+++ b/src/main/java/io/shallotspur/plain/PlainWorker.java
@@ -3,10 +3,11 @@
 import io.shallotspur.fleet.Worker;
 
 /**
- * The state of one plain worker, with the limit of calls at a time learnt from latency.
- * As long as calls take about as long as they do at their best, the limit grows by one
- * per limit of calls; once they take longer, calls queue inside the worker, and the limit
- * shrinks in proportion. Not thread-safe.
+ * The state of one plain worker, with an adaptive concurrency limit derived from its
+ * latency. While the average latency stays close to the baseline, the limit grows by one
+ * for every {@code limit} calls completed at full concurrency. A higher average indicates
+ * that calls queue inside the worker, and the limit is reduced in proportion. Not
+ * thread-safe.
  * <p>
  * Invariant: {@code 1 <= limit <= declared slots}, if slots are declared.
  */
@@ -20,7 +21,7 @@
 
 	private final Worker worker;
 
-	private final double tolerance;
+	private final double latencyTolerance;
 
 	private double limit;
 
@@ -36,7 +37,7 @@
 
 	PlainWorker(Worker worker, PlainSettings settings) {
 		this.worker = worker;
-		this.tolerance = settings.latencyTolerance();
+		this.latencyTolerance = settings.latencyTolerance();
 		this.limit = (worker.slots() > 0) ? worker.slots() : settings.initialConcurrency();
 		this.baselineMs = settings.initialServiceMs();
 		this.averageMs = settings.initialServiceMs();
@@ -78,31 +79,32 @@
 		this.running--;
 	}
 
-	void attemptCompleted(double tookMs) {
-		boolean full = this.running >= (int) this.limit;
+	void attemptCompleted(double latencyMs) {
+		boolean saturated = this.running >= (int) this.limit;
 		this.running--;
-		recordLatency(Math.max(0.1, tookMs));
-		if (this.averageMs > this.baselineMs * this.tolerance) {
-			this.limit *= Math.max(MIN_DECREASE_FACTOR, 1 - (1 - this.baselineMs * this.tolerance / this.averageMs) / this.limit);
+		recordLatency(Math.max(0.1, latencyMs));
+		if (this.averageMs > this.baselineMs * this.latencyTolerance) {
+			this.limit *= Math.max(MIN_DECREASE_FACTOR,
+					1 - (1 - this.baselineMs * this.latencyTolerance / this.averageMs) / this.limit);
 		}
-		else if (full) {
+		else if (saturated) {
 			this.limit += 1 / this.limit;
 		}
-		int most = (this.worker.slots() > 0) ? this.worker.slots() : Integer.MAX_VALUE;
-		this.limit = Math.max(1, Math.min(most, this.limit));
+		int maxLimit = (this.worker.slots() > 0) ? this.worker.slots() : Integer.MAX_VALUE;
+		this.limit = Math.max(1, Math.min(maxLimit, this.limit));
 	}
 
-	private void recordLatency(double tookMs) {
+	private void recordLatency(double latencyMs) {
 		if (!this.hasSamples) {
 			this.hasSamples = true;
-			this.baselineMs = tookMs;
-			this.averageMs = tookMs;
+			this.baselineMs = latencyMs;
+			this.averageMs = latencyMs;
 			return;
 		}
-		this.averageMs += SMOOTHING * (tookMs - this.averageMs);
-		// The best may only creep up: a service that has become slower for good is not
-		// held against its former self for ever.
-		this.baselineMs = Math.min(tookMs, this.baselineMs + BASELINE_DRIFT * (this.averageMs - this.baselineMs));
+		this.averageMs += SMOOTHING * (latencyMs - this.averageMs);
+		// The baseline follows the minimum latency but drifts slowly towards the average,
+		// so that it adapts to a service that has become permanently slower.
+		this.baselineMs = Math.min(latencyMs, this.baselineMs + BASELINE_DRIFT * (this.averageMs - this.baselineMs));
 	}
 
 }
--- a/src/main/java/io/shallotspur/plain/StdPlainScheduler.java
+++ b/src/main/java/io/shallotspur/plain/StdPlainScheduler.java
@@ -21,12 +21,12 @@
 import io.shallotspur.retry.WorkerHealth;
 
 /**
- * The scheduler of a plain upstream. Calls wait here rather than inside a worker, so that
- * an urgent one passes all others; each worker gets as many at a time as its latency
- * bears.
+ * The scheduler of a plain upstream. Calls are queued here rather than inside a worker,
+ * so that an urgent call can overtake all others; the number of concurrent calls per
+ * worker is limited according to its latency.
  * <p>
- * Not thread-safe: events come one at a time, in order of {@code now}. Invariants: those
- * of {@link PlainScheduler}.
+ * Not thread-safe: events are delivered one at a time, in order of {@code now}.
+ * Invariants: those of {@link PlainScheduler}.
  */
 public final class StdPlainScheduler implements PlainScheduler {
 
@@ -48,7 +48,7 @@
 
 	private final FairQueue<CallState> queue;
 
-	private final TimerQueue<CallState> timers = new TimerQueue<>((c) -> c.ended);
+	private final TimerQueue<CallState> timers = new TimerQueue<>((call) -> call.ended);
 
 	private final RetryBudget retryBudget;
 
@@ -56,7 +56,7 @@
 
 	private ContractSet contracts;
 
-	private Consumer<PlainAction> out = (a) -> {
+	private Consumer<PlainAction> out = (action) -> {
 	};
 
 	private long lastSequence;
@@ -67,7 +67,8 @@
 	 * Creates a scheduler without workers.
 	 * @param settings the settings
 	 * @param contracts the contracts in force
-	 * @param seed the seed of its randomness; kept for implementations that draw lots
+	 * @param seed the random seed; reserved for randomized implementations and not used
+	 * at present
 	 */
 	public StdPlainScheduler(PlainSettings settings, ContractSet contracts, long seed) {
 		this.settings = settings;
@@ -93,7 +94,7 @@
 	}
 
 	/**
-	 * Returns how many calls wait or run.
+	 * Returns the number of calls that are queued or running.
 	 * @return the number of calls
 	 */
 	public int activeCallCount() {
@@ -132,9 +133,9 @@
 			removeWorker(e.workerId(), now);
 		}
 		else if (event instanceof PlainEvent.WorkerLeaving e) {
-			PlainWorker w = this.workers.get(e.workerId());
-			if (w != null) {
-				w.drain();
+			PlainWorker worker = this.workers.get(e.workerId());
+			if (worker != null) {
+				worker.drain();
 			}
 		}
 		else if (event instanceof PlainEvent.ContractsChanged e) {
@@ -142,66 +143,66 @@
 		}
 	}
 
-	private void submit(PlainRequest r, long now) {
-		CallState c = new CallState(r, ++this.lastSequence);
+	private void submit(PlainRequest request, long now) {
+		CallState call = new CallState(request, ++this.lastSequence);
 		if (this.workers.values().stream().allMatch(PlainWorker::draining)) {
-			refuse(c, RefusalCode.NO_WORKER, "No worker takes new calls.");
+			refuse(call, RefusalCode.NO_WORKER, "No worker accepts new calls.");
 		}
 		else if (this.queue.size() >= this.settings.queueLimit()) {
-			refuse(c, RefusalCode.QUEUE_FULL, "The queue is full.");
+			refuse(call, RefusalCode.QUEUE_FULL, "The queue is full.");
 		}
 		else {
-			this.retryBudget.recordFirstAttempt(r.customer(), now);
-			this.callsById.put(r.id(), c);
-			this.queue.add(c);
-			this.timers.add(c, latestStart(c));
-			this.timers.add(c, r.deadlineAt());
+			this.retryBudget.recordFirstAttempt(request.customer(), now);
+			this.callsById.put(request.id(), call);
+			this.queue.add(call);
+			this.timers.add(call, latestStart(call));
+			this.timers.add(call, request.deadlineAt());
 		}
 	}
 
-	private void onCallerGone(@Nullable CallState c) {
-		if (c != null) {
-			cancel(c);
-			end(c);
+	private void onCallerGone(@Nullable CallState call) {
+		if (call != null) {
+			cancel(call);
+			end(call);
 		}
 	}
 
-	private void onCallCompleted(@Nullable CallState c, long now) {
-		if (c == null) {
+	private void onCallCompleted(@Nullable CallState call, long now) {
+		if (call == null) {
 			return;
 		}
-		PlainWorker w = c.worker;
-		if (w != null) {
-			double took = now - c.startedAt;
-			this.queue.charge(c.flow(), took - w.averageMs());
-			w.attemptCompleted(took);
-			this.outlierDetector.recordSuccess(w.id(), took, now);
+		PlainWorker worker = call.worker;
+		if (worker != null) {
+			double latencyMs = now - call.startedAt;
+			this.queue.charge(call.flow(), latencyMs - worker.averageMs());
+			worker.attemptCompleted(latencyMs);
+			this.outlierDetector.recordSuccess(worker.id(), latencyMs, now);
 		}
-		c.worker = null;
-		end(c);
+		call.worker = null;
+		end(call);
 	}
 
-	private void onAttemptFailed(@Nullable CallState c, boolean maybeRun, long now) {
-		if (c == null) {
+	private void onAttemptFailed(@Nullable CallState call, boolean mayHaveRun, long now) {
+		if (call == null) {
 			return;
 		}
-		c.mayHaveRun |= maybeRun;
-		if (c.worker != null) {
-			this.outlierDetector.recordFailure(c.worker.id(), now);
+		call.mayHaveRun |= mayHaveRun;
+		if (call.worker != null) {
+			this.outlierDetector.recordFailure(call.worker.id(), now);
 		}
-		releaseWorker(c);
-		if (c.mayHaveRun && !c.request.repeatable()) {
-			refuse(c, RefusalCode.OUTCOME_UNKNOWN, "The answer was lost; the call may have been run.");
+		releaseWorker(call);
+		if (call.mayHaveRun && !call.request.repeatable()) {
+			refuse(call, RefusalCode.OUTCOME_UNKNOWN, "The response was lost; the call may have run.");
 		}
-		else if (c.attemptCount >= this.settings.maxAttempts() || now > latestStart(c)) {
-			refuse(c, RefusalCode.WORKER_LOST, "The call failed and no try is left.");
+		else if (call.attemptCount >= this.settings.maxAttempts() || now > latestStart(call)) {
+			refuse(call, RefusalCode.WORKER_LOST, "The call failed and cannot be retried within its limits.");
 		}
-		else if (!this.retryBudget.tryRetry(c.flow(), now)) {
-			refuse(c, RefusalCode.RETRY_BUDGET, "The customer's retries are used up.");
+		else if (!this.retryBudget.tryRetry(call.flow(), now)) {
+			refuse(call, RefusalCode.RETRY_BUDGET, "The retry budget of the customer is exhausted.");
 		}
 		else {
-			this.queue.add(c);
-			this.timers.add(c, latestStart(c));
+			this.queue.add(call);
+			this.timers.add(call, latestStart(call));
 		}
 	}
 
@@ -211,107 +212,108 @@
 		}
 		this.outlierDetector.removeWorker(id);
 		List<CallState> lost = new ArrayList<>();
-		for (CallState c : this.callsByAttempt.values()) {
-			if (c.worker != null && c.worker.id().equals(id)) {
-				lost.add(c);
+		for (CallState call : this.callsByAttempt.values()) {
+			if (call.worker != null && call.worker.id().equals(id)) {
+				lost.add(call);
 			}
 		}
-		lost.forEach((c) -> onAttemptFailed(c, true, now));
+		lost.forEach((call) -> onAttemptFailed(call, true, now));
 	}
 
 	private void runTimers(long now) {
-		CallState c = this.timers.poll(now);
-		while (c != null) {
-			onTimer(c, now);
-			c = this.timers.poll(now);
+		CallState call = this.timers.poll(now);
+		while (call != null) {
+			onTimer(call, now);
+			call = this.timers.poll(now);
 		}
 	}
 
-	private void onTimer(CallState c, long now) {
-		if (now >= c.request.deadlineAt()) {
-			c.mayHaveRun |= c.worker != null;
-			cancel(c);
-			refuse(c, RefusalCode.DEADLINE_PASSED, "The deadline has passed.");
+	private void onTimer(CallState call, long now) {
+		if (now >= call.request.deadlineAt()) {
+			call.mayHaveRun |= call.worker != null;
+			cancel(call);
+			refuse(call, RefusalCode.DEADLINE_PASSED, "The deadline has passed.");
 		}
-		else if (c.worker == null && now > latestStart(c)) {
-			refuse(c, RefusalCode.DEADLINE_INFEASIBLE, "The target cannot be met at the present load.");
+		else if (call.worker == null && now > latestStart(call)) {
+			refuse(call, RefusalCode.DEADLINE_INFEASIBLE, "The latency target cannot be met at the current load.");
 		}
-		else if (c.worker == null) {
-			this.timers.add(c, Math.max(now, latestStart(c)) + 1);
+		else if (call.worker == null) {
+			this.timers.add(call, Math.max(now, latestStart(call)) + 1);
 		}
 	}
 
 	private void dispatch(long now) {
-		PlainWorker w = leastLoaded(now);
-		while (w != null && this.queue.size() > 0) {
-			CallState c = this.queue.findNext(this.settings.lookahead(), (x) -> true);
-			if (c == null) {
+		PlainWorker worker = leastLoaded(now);
+		while (worker != null && this.queue.size() > 0) {
+			CallState call = this.queue.findNext(this.settings.lookahead(), (candidate) -> true);
+			if (call == null) {
 				return;
 			}
-			if (now > latestStart(c)) {
-				refuse(c, RefusalCode.DEADLINE_INFEASIBLE, "The target cannot be met at the present load.");
+			if (now > latestStart(call)) {
+				refuse(call, RefusalCode.DEADLINE_INFEASIBLE, "The latency target cannot be met at the current load.");
 				continue;
 			}
-			start(c, w, now);
-			w = leastLoaded(now);
+			start(call, worker, now);
+			worker = leastLoaded(now);
 		}
 	}
 
-	private void start(CallState c, PlainWorker w, long now) {
-		this.queue.dispatch(c, w.averageMs());
-		c.attemptId = ++this.lastAttemptId;
-		c.attemptCount++;
-		c.startedAt = now;
-		c.worker = w;
-		w.attemptStarted();
-		this.outlierDetector.recordStart(w.id(), now);
-		this.callsByAttempt.put(c.attemptId, c);
-		this.out.accept(new PlainAction.StartCall(c.request.id(), c.attemptId, w.id()));
+	private void start(CallState call, PlainWorker worker, long now) {
+		this.queue.dispatch(call, worker.averageMs());
+		call.attemptId = ++this.lastAttemptId;
+		call.attemptCount++;
+		call.startedAt = now;
+		call.worker = worker;
+		worker.attemptStarted();
+		this.outlierDetector.recordStart(worker.id(), now);
+		this.callsByAttempt.put(call.attemptId, call);
+		this.out.accept(new PlainAction.StartCall(call.request.id(), call.attemptId, worker.id()));
 	}
 
-	private void cancel(CallState c) {
-		PlainWorker w = c.worker;
-		if (w != null) {
-			this.out.accept(new PlainAction.CancelCall(c.request.id(), c.attemptId, w.id()));
+	private void cancel(CallState call) {
+		PlainWorker worker = call.worker;
+		if (worker != null) {
+			this.out.accept(new PlainAction.CancelCall(call.request.id(), call.attemptId, worker.id()));
 		}
-		releaseWorker(c);
+		releaseWorker(call);
 	}
 
-	private void refuse(CallState c, RefusalCode code, String detail) {
-		end(c);
-		Refusal refusal = c.mayHaveRun ? Refusal.unknown(code, detail) : Refusal.notRun(code, detail, RETRY_AFTER_MS);
-		this.out.accept(new PlainAction.Refuse(c.request.id(), refusal));
+	private void refuse(CallState call, RefusalCode code, String detail) {
+		end(call);
+		Refusal refusal = call.mayHaveRun ? Refusal.unknown(code, detail)
+				: Refusal.notRun(code, detail, RETRY_AFTER_MS);
+		this.out.accept(new PlainAction.Refuse(call.request.id(), refusal));
 	}
 
-	private void end(CallState c) {
-		releaseWorker(c);
-		this.queue.remove(c);
-		c.ended = true;
-		this.callsById.remove(c.request.id(), c);
+	private void end(CallState call) {
+		releaseWorker(call);
+		this.queue.remove(call);
+		call.ended = true;
+		this.callsById.remove(call.request.id(), call);
 	}
 
-	private void releaseWorker(CallState c) {
-		if (c.worker != null) {
-			c.worker.attemptAborted();
-			c.worker = null;
+	private void releaseWorker(CallState call) {
+		if (call.worker != null) {
+			call.worker.attemptAborted();
+			call.worker = null;
 		}
-		this.callsByAttempt.remove(c.attemptId);
+		this.callsByAttempt.remove(call.attemptId);
 	}
 
-	private long latestStart(CallState c) {
-		double least = Double.MAX_VALUE;
-		for (PlainWorker w : this.workers.values()) {
-			least = Math.min(least, w.averageMs());
+	private long latestStart(CallState call) {
+		double minAverageMs = Double.MAX_VALUE;
+		for (PlainWorker worker : this.workers.values()) {
+			minAverageMs = Math.min(minAverageMs, worker.averageMs());
 		}
-		return c.dueAt() - ((least == Double.MAX_VALUE) ? 0 : (long) least);
+		return call.dueAt() - ((minAverageMs == Double.MAX_VALUE) ? 0 : (long) minAverageMs);
 	}
 
 	private @Nullable PlainWorker leastLoaded(long now) {
 		PlainWorker best = null;
-		for (PlainWorker w : this.workers.values()) {
-			boolean in = this.outlierDetector.health(w.id(), now) != WorkerHealth.EJECTED;
-			if (in && w.hasCapacity() && (best == null || w.load() < best.load())) {
-				best = w;
+		for (PlainWorker worker : this.workers.values()) {
+			boolean eligible = this.outlierDetector.health(worker.id(), now) != WorkerHealth.EJECTED;
+			if (eligible && worker.hasCapacity() && (best == null || worker.load() < best.load())) {
+				best = worker;
 			}
 		}
 		return best;
--- a/src/main/java/io/shallotspur/plain/package-info.java
+++ b/src/main/java/io/shallotspur/plain/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Decisions about calls to plain services, as a state machine of events and actions.
+ * Scheduling of calls to plain upstreams, as a state machine that maps events to actions.
  */
 @NullMarked
 package io.shallotspur.plain;
--- a/src/test/java/io/shallotspur/plain/StdPlainSchedulerTests.java
+++ b/src/test/java/io/shallotspur/plain/StdPlainSchedulerTests.java
@@ -22,12 +22,12 @@
 		return new Worker(id, "app", "hall", WorkerRole.PLAIN, "", slots, 0, 0, 0, 0);
 	}
 
-	private void event(PlainEvent e, long now) {
-		this.scheduler.handle(e, now, this.actions::add);
+	private void handle(PlainEvent event, long now) {
+		this.scheduler.handle(event, now, this.actions::add);
 	}
 
 	private void submit(String id, int priority, boolean repeatable, long now) {
-		event(new PlainEvent.Submit(new PlainRequest(id, "a", "c", priority, now, now + 400, now + 1000, repeatable)),
+		handle(new PlainEvent.Submit(new PlainRequest(id, "a", "c", priority, now, now + 400, now + 1000, repeatable)),
 				now);
 	}
 
@@ -46,57 +46,59 @@
 	}
 
 	@Test
-	void urgentCallPassesTheOthers() {
-		event(new PlainEvent.WorkerUp(worker("w1", 1)), 0);
+	void urgentCallOvertakesOthers() {
+		handle(new PlainEvent.WorkerUp(worker("w1", 1)), 0);
 		submit("s1", 3, true, 0);
 		submit("s2", 3, true, 0);
 		submit("k1", 1, false, 0);
-		event(new PlainEvent.CallCompleted(1), 20);
+		handle(new PlainEvent.CallCompleted(1), 20);
 		assertThat(starts()).extracting(PlainAction.StartCall::requestId).containsExactly("s1", "k1");
 	}
 
 	@Test
-	void lostCallThatMayNotBeRepeatedIsNotGivenToASecondWorker() {
-		// The worker dies while it encodes a key. Nobody can tell whether the key was
-		// encoded, so the kiosk is told so, and no second key is made.
-		event(new PlainEvent.WorkerUp(worker("w1", 4)), 0);
-		event(new PlainEvent.WorkerUp(worker("w2", 4)), 0);
+	void lostCallThatIsNotRepeatableIsNotRetried() {
+		// The worker fails while it runs a call with a side effect. Whether the call took
+		// effect is unknown: a retry could repeat the side effect, so the caller receives
+		// an unknown outcome instead.
+		handle(new PlainEvent.WorkerUp(worker("w1", 4)), 0);
+		handle(new PlainEvent.WorkerUp(worker("w2", 4)), 0);
 		submit("k1", 1, false, 0);
-		event(new PlainEvent.WorkerDown(starts().get(0).workerId()), 10);
+		handle(new PlainEvent.WorkerDown(starts().get(0).workerId()), 10);
 		assertThat(starts()).hasSize(1);
 		assertThat(refusals()).singleElement()
 			.satisfies((r) -> assertThat(r.refusal().outcome()).isEqualTo(Outcome.OUTCOME_UNKNOWN));
 	}
 
 	@Test
-	void lostCallThatMayBeRepeatedIsRunElsewhere() {
-		// The worker dies while it looks up a door. The lookup changes nothing, so the
-		// other worker answers it.
-		event(new PlainEvent.WorkerUp(worker("w1", 4)), 0);
-		event(new PlainEvent.WorkerUp(worker("w2", 4)), 0);
+	void lostRepeatableCallIsRetriedOnAnotherWorker() {
+		// The worker fails while it runs a call without side effects, so the call can be
+		// retried safely on the other worker.
+		handle(new PlainEvent.WorkerUp(worker("w1", 4)), 0);
+		handle(new PlainEvent.WorkerUp(worker("w2", 4)), 0);
 		submit("s1", 1, true, 0);
 		String first = starts().get(0).workerId();
-		event(new PlainEvent.WorkerDown(first), 10);
+		handle(new PlainEvent.WorkerDown(first), 10);
 		assertThat(starts()).hasSize(2);
 		assertThat(starts().get(1).workerId()).isNotEqualTo(first);
 	}
 
 	@Test
-	void callThatWasSurelyNotRunIsGivenToAnotherWorkerEvenIfNotRepeatable() {
-		// The connection was refused before anything was sent, so a second try is safe.
-		event(new PlainEvent.WorkerUp(worker("w1", 4)), 0);
+	void callThatDidNotRunIsRetriedEvenIfNotRepeatable() {
+		// The connection was refused before anything was sent, so a retry is safe.
+		handle(new PlainEvent.WorkerUp(worker("w1", 4)), 0);
 		submit("k1", 1, false, 0);
-		event(new PlainEvent.CallNotRun(1), 5);
+		handle(new PlainEvent.CallNotRun(1), 5);
 		assertThat(starts()).hasSize(2);
 	}
 
 	@Test
-	void callWhoseCallerLeftIsCancelled() {
-		// The passenger closes the page. The slot is freed and the late answer dropped.
-		event(new PlainEvent.WorkerUp(worker("w1", 1)), 0);
+	void callIsCancelledWhenCallerDisconnects() {
+		// The attempt is cancelled, its slot is released and its late response is
+		// dropped.
+		handle(new PlainEvent.WorkerUp(worker("w1", 1)), 0);
 		submit("s1", 1, true, 0);
-		event(new PlainEvent.CallerGone("s1"), 5);
-		event(new PlainEvent.CallCompleted(1), 8);
+		handle(new PlainEvent.CallerGone("s1"), 5);
+		handle(new PlainEvent.CallCompleted(1), 8);
 		assertThat(this.actions).contains(new PlainAction.CancelCall("s1", 1, "w1"));
 		assertThat(this.scheduler.activeCallCount()).isZero();
 		submit("s2", 1, true, 9);
