--- a/src/main/java/io/shallotspur/contract/BearerKey.java
+++ b/src/main/java/io/shallotspur/contract/BearerKey.java
@@ -9,13 +9,13 @@
 import java.util.regex.Pattern;
 
 /**
- * Bearer tokens by which callers say whose customer they are. Only their hashes are kept
- * and compared, so that no key can be read from memory, a log or the time that a
- * comparison takes. Stateless.
+ * Parses and hashes the bearer tokens that identify a customer. Only hashes are stored
+ * and compared, so that no token can leak through memory, logs or the timing of
+ * comparisons. Stateless.
  */
 public final class BearerKey {
 
-	// RFC 6750, section 2.1; the name of the scheme has no case.
+	// RFC 6750, section 2.1; the scheme name is case-insensitive.
 	private static final Pattern CREDENTIALS = Pattern.compile("(?i:Bearer) +([A-Za-z0-9._~+/-]+=*) *");
 
 	private BearerKey() {
@@ -24,26 +24,27 @@
 	/**
 	 * Hashes a token.
 	 * @param token the token
-	 * @return its SHA-256 in lower-case hex
+	 * @return its SHA-256 hash in lower-case hex
 	 */
 	public static String hash(String token) {
 		try {
-			byte[] d = MessageDigest.getInstance("SHA-256").digest(token.getBytes(StandardCharsets.UTF_8));
-			return HexFormat.of().formatHex(d);
+			byte[] digest = MessageDigest.getInstance("SHA-256").digest(token.getBytes(StandardCharsets.UTF_8));
+			return HexFormat.of().formatHex(digest);
 		}
 		catch (NoSuchAlgorithmException ex) {
-			throw new IllegalStateException("every JDK has SHA-256", ex);
+			// Every JDK provides SHA-256.
+			throw new IllegalStateException("SHA-256 is not available", ex);
 		}
 	}
 
 	/**
-	 * Hashes the token of a caller's credentials.
-	 * @param credentials the value of an {@code Authorization} field
-	 * @return the hash, or empty if the value is not one bearer token
+	 * Hashes the bearer token in the credentials of a request.
+	 * @param credentials the value of the {@code Authorization} header
+	 * @return the hash, or empty if the value is not exactly one well-formed bearer token
 	 */
 	public static Optional<String> hashCredentials(String credentials) {
-		Matcher m = CREDENTIALS.matcher(credentials);
-		return m.matches() ? Optional.of(hash(m.group(1))) : Optional.empty();
+		Matcher matcher = CREDENTIALS.matcher(credentials);
+		return matcher.matches() ? Optional.of(hash(matcher.group(1))) : Optional.empty();
 	}
 
 }
--- a/src/main/java/io/shallotspur/contract/ContractSet.java
+++ b/src/main/java/io/shallotspur/contract/ContractSet.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 
 /**
- * The contracts in force at one moment, by customer. Immutable and freely shared: a
- * reader keeps one instance for the whole of a decision.
+ * A snapshot of all contracts, indexed by customer and by key hash. Immutable. A reader
+ * uses one instance for an entire decision, so that the decision is consistent.
  */
 public final class ContractSet {
 
@@ -23,7 +23,7 @@
 	}
 
 	/**
-	 * Returns the set without contracts.
+	 * Returns a set without contracts.
 	 * @return the empty set
 	 */
 	public static ContractSet empty() {
@@ -31,27 +31,27 @@
 	}
 
 	/**
-	 * Creates a set. Of two contracts of one customer the one with the higher revision is
-	 * kept.
-	 * @param contracts the contracts, tombstones among them
+	 * Creates a set. If there are several contracts of one customer, the one with the
+	 * highest revision is kept.
+	 * @param contracts the contracts, including tombstones
 	 * @return the set
 	 */
 	public static ContractSet of(Collection<Contract> contracts) {
-		Map<String, Contract> m = new HashMap<>();
+		Map<String, Contract> latest = new HashMap<>();
 		for (Contract c : contracts) {
-			m.merge(c.customer(), c, (a, b) -> (b.revision() >= a.revision()) ? b : a);
+			latest.merge(c.customer(), c, (a, b) -> (b.revision() >= a.revision()) ? b : a);
 		}
-		Map<String, Contract> keys = new HashMap<>();
-		for (Contract c : m.values()) {
+		Map<String, Contract> byHash = new HashMap<>();
+		for (Contract c : latest.values()) {
 			if (!c.retired()) {
-				c.keyHashes().forEach((k) -> keys.put(k, c));
+				c.keyHashes().forEach((hash) -> byHash.put(hash, c));
 			}
 		}
-		return new ContractSet(Map.copyOf(m), Map.copyOf(keys));
+		return new ContractSet(Map.copyOf(latest), Map.copyOf(byHash));
 	}
 
 	/**
-	 * Finds the contract in force of a customer.
+	 * Finds a customer's contract that is in force.
 	 * @param customer the customer's name
 	 * @return the contract, or empty if there is none or it is retired
 	 */
@@ -60,8 +60,8 @@
 	}
 
 	/**
-	 * Finds the contract that a bearer token belongs to.
-	 * @param keyHash the SHA-256 of the token, lower-case hex
+	 * Finds the contract in force to which a bearer token belongs.
+	 * @param keyHash the SHA-256 hash of the token in lower-case hex
 	 * @return the contract, or empty if no contract in force has that key
 	 */
 	public Optional<Contract> findByKeyHash(String keyHash) {
@@ -69,7 +69,7 @@
 	}
 
 	/**
-	 * Returns all contracts, tombstones among them.
+	 * Returns all contracts, including tombstones.
 	 * @return an unmodifiable collection in no particular order
 	 */
 	public Collection<Contract> all() {
--- a/src/main/java/io/shallotspur/contract/ContractValidator.java
+++ b/src/main/java/io/shallotspur/contract/ContractValidator.java
@@ -9,25 +9,26 @@
 import io.shallotspur.util.toml.Problems;
 
 /**
- * Checks that contracts can be kept as written, one by one and together. Stateless and
+ * Validates contracts, each on its own and all of them together. Stateless and
  * thread-safe.
  */
 public final class ContractValidator {
 
 	/**
-	 * Shares are decimal fractions: ten of 0.1 must not fail for their rounding.
+	 * Tolerance for rounding errors, so that, for instance, ten shares of 0.1 are
+	 * accepted.
 	 */
 	private static final double SHARE_TOLERANCE = 1e-9;
 
-	private static final String POSITIVE_DURATION = "a whole number of milliseconds over 0";
+	private static final String POSITIVE_DURATION = "a positive whole number of milliseconds";
 
 	private ContractValidator() {
 	}
 
 	/**
-	 * Checks a whole set of contracts. Retired contracts are left out.
+	 * Validates a set of contracts. Retired contracts are skipped.
 	 * @param contracts the contracts
-	 * @param problems receives what is wrong, in a steady order
+	 * @param problems receives the problems found, in a deterministic order
 	 */
 	public static void validate(Collection<Contract> contracts, Problems problems) {
 		Set<String> customers = new HashSet<>();
@@ -39,10 +40,13 @@
 			}
 			validateContract(c, problems);
 			if (!customers.add(c.customer())) {
-				problems.add(c.customer(), "is there twice", "one contract for each customer");
+				problems.add(c.customer(), "is duplicated", "one contract per customer");
 			}
-			c.keyHashes().stream().filter((k) -> !keyHashes.add(k)).forEach((k) -> addDuplicateKey(c, problems));
-			upstreams(c).forEach((u) -> shares.merge(u, c.share(), Double::sum));
+			c.keyHashes()
+				.stream()
+				.filter((hash) -> !keyHashes.add(hash))
+				.forEach((hash) -> addDuplicateKey(c, problems));
+			upstreams(c).forEach((upstream) -> shares.merge(upstream, c.share(), Double::sum));
 		}
 		shares.forEach((upstream, sum) -> {
 			if (sum > 1 + SHARE_TOLERANCE) {
@@ -56,37 +60,37 @@
 			problems.add("customer", "is empty", "a name");
 		}
 		if (!(c.share() > 0 && c.share() <= 1)) {
-			problems.add(c.customer() + ".share", "is " + c.share(), "over 0 and at most 1");
+			problems.add(c.customer() + ".share", "is " + c.share(), "greater than 0 and at most 1");
 		}
 		if (c.classes().isEmpty()) {
-			problems.add(c.customer() + ".class", "there is none", "at least one class");
+			problems.add(c.customer() + ".class", "is missing", "at least one class");
 		}
 		Set<String> names = new HashSet<>();
-		for (RequestClass r : c.classes()) {
-			String key = c.customer() + "/" + r.name();
-			if (!names.add(r.name())) {
-				problems.add(key, "is there twice", "names that are unique in the contract");
+		for (RequestClass requestClass : c.classes()) {
+			String key = c.customer() + "/" + requestClass.name();
+			if (!names.add(requestClass.name())) {
+				problems.add(key, "is duplicated", "class names that are unique in the contract");
 			}
-			validateClass(r, key, problems);
+			validateClass(requestClass, key, problems);
 		}
 	}
 
-	private static void validateClass(RequestClass r, String key, Problems problems) {
-		if (r.name().isBlank()) {
+	private static void validateClass(RequestClass requestClass, String key, Problems problems) {
+		if (requestClass.name().isBlank()) {
 			problems.add(key + ".name", "is empty", "a name");
 		}
-		if (r.upstream().isBlank()) {
+		if (requestClass.upstream().isBlank()) {
 			problems.add(key + ".upstream", "is empty", "the name of an upstream");
 		}
-		if (r.priority() < 0) {
-			problems.add(key + ".priority", "is " + r.priority(), "0 or more");
+		if (requestClass.priority() < 0) {
+			problems.add(key + ".priority", "is " + requestClass.priority(), "0 or more");
 		}
-		requirePositive(key + ".ttft_ms", r.ttftMs(), problems);
-		requirePositive(key + ".tbt_ms", r.tbtMs(), problems);
-		requirePositive(key + ".deadline_ms", r.deadlineMs(), problems);
-		if (r.ttftMs() > r.deadlineMs()) {
-			problems.add(key + ".ttft_ms", "is " + r.ttftMs() + ", after the deadline",
-					"at most deadline_ms, which is " + r.deadlineMs());
+		requirePositive(key + ".ttft_ms", requestClass.ttftMs(), problems);
+		requirePositive(key + ".tbt_ms", requestClass.tbtMs(), problems);
+		requirePositive(key + ".deadline_ms", requestClass.deadlineMs(), problems);
+		if (requestClass.ttftMs() > requestClass.deadlineMs()) {
+			problems.add(key + ".ttft_ms", "is " + requestClass.ttftMs() + ", greater than the deadline",
+					"at most deadline_ms, which is " + requestClass.deadlineMs());
 		}
 	}
 
@@ -97,12 +101,13 @@
 	}
 
 	private static void addDuplicateKey(Contract c, Problems problems) {
-		problems.add(c.customer() + ".key_hashes", "has a hash that is there twice", "hashes that name one customer");
+		problems.add(c.customer() + ".key_hashes", "has a duplicate hash",
+				"hashes that are unique across all contracts");
 	}
 
 	private static Set<String> upstreams(Contract c) {
 		Set<String> names = new TreeSet<>();
-		c.classes().forEach((r) -> names.add(r.upstream()));
+		c.classes().forEach((requestClass) -> names.add(requestClass.upstream()));
 		return names;
 	}
 
--- a/src/main/java/io/shallotspur/contract/RequestClass.java
+++ b/src/main/java/io/shallotspur/contract/RequestClass.java
@@ -1,17 +1,18 @@
 package io.shallotspur.contract;
 
 /**
- * One class of requests in a contract. Immutable.
+ * A class of requests in a contract, with its latency targets. Immutable.
  *
  * @param name unique within the contract
  * @param upstream the upstream that serves the class
- * @param priority a smaller number outranks a larger one; at least 0
- * @param ttftMs target for the time to the first token (or to the whole answer of a plain
- * call), in milliseconds
- * @param tbtMs target for the 95th percentile of a request's own gaps between tokens, in
+ * @param priority the priority, at least 0; a smaller number takes precedence
+ * @param ttftMs target for the time to first token (or, for a plain call, to the complete
+ * response), in milliseconds
+ * @param tbtMs target for the 95th percentile of the time between tokens within a
+ * request, in milliseconds
+ * @param deadlineMs time after which the response is useless to the caller, in
  * milliseconds
- * @param deadlineMs after this many milliseconds the answer is of no use
- * @param repeatable {@code false} if a request may be run once at most
+ * @param repeatable {@code false} if a request must not be run more than once
  */
 public record RequestClass(String name, String upstream, int priority, long ttftMs, long tbtMs, long deadlineMs,
 		boolean repeatable) {
--- a/src/main/java/io/shallotspur/contract/io/ContractFile.java
+++ b/src/main/java/io/shallotspur/contract/io/ContractFile.java
@@ -14,9 +14,9 @@
 import io.shallotspur.util.toml.TomlTable;
 
 /**
- * The operators' file format of contracts (TOML). Reading is strict: an unknown key, a
- * wrong type, a missing field and a term that cannot be kept are errors, and all of them
- * are reported together. Stateless and thread-safe.
+ * Reads contracts from TOML files. Parsing is strict: unknown keys, wrong types, missing
+ * fields and invalid values are errors, and all errors of a file are reported together.
+ * Stateless and thread-safe.
  */
 public final class ContractFile {
 
@@ -30,12 +30,12 @@
 	}
 
 	/**
-	 * Reads the contracts of a file.
+	 * Reads the contracts from a file.
 	 * @param file the file
 	 * @return the contracts, with revision 0
 	 * @throws InputException if the file cannot be read or is not TOML
-	 * @throws ContractInvalidException if its contracts cannot be accepted; the message
-	 * has one line for each problem
+	 * @throws ContractInvalidException if the contracts are invalid; the message has one
+	 * line for each problem
 	 */
 	public static List<Contract> read(Path file) throws InputException, ContractInvalidException {
 		Problems problems = new Problems(file.toString());
@@ -43,28 +43,28 @@
 	}
 
 	/**
-	 * Reads contracts from a text.
-	 * @param text the text
-	 * @param name names the text in errors
+	 * Parses contracts from a string.
+	 * @param text the TOML text
+	 * @param name the name of the text in error messages
 	 * @return the contracts, with revision 0
 	 * @throws InputException if the text is not TOML
-	 * @throws ContractInvalidException if its contracts cannot be accepted; the message
-	 * has one line for each problem
+	 * @throws ContractInvalidException if the contracts are invalid; the message has one
+	 * line for each problem
 	 */
 	public static List<Contract> parse(String text, String name) throws InputException, ContractInvalidException {
 		Problems problems = new Problems(name);
 		return read(TomlTable.parse(text, problems), problems);
 	}
 
-	private static List<Contract> read(TomlTable top, Problems problems) throws ContractInvalidException {
+	private static List<Contract> read(TomlTable root, Problems problems) throws ContractInvalidException {
 		List<Contract> contracts = new ArrayList<>();
-		for (TomlTable t : top.tables("contract")) {
-			contracts.add(readContract(t));
+		for (TomlTable table : root.tables("contract")) {
+			contracts.add(readContract(table));
 		}
 		if (contracts.isEmpty()) {
-			top.problem("contract", "there is none", "[[contract]], at least one");
+			root.problem("contract", "is missing", "at least one [[contract]]");
 		}
-		top.finish();
+		root.finish();
 		if (problems.isEmpty()) {
 			ContractValidator.validate(contracts, problems);
 		}
@@ -74,29 +74,29 @@
 		return contracts;
 	}
 
-	private static Contract readContract(TomlTable t) {
-		String customer = t.text("customer");
-		double share = t.number("share", 0, 1);
-		List<String> hashes = t.texts("key_hashes");
-		for (String h : hashes) {
-			if (!SHA256.matcher(h).matches()) {
-				t.problem("key_hashes", "\"" + h + "\" is no hash", "SHA-256 as 64 lower-case hex digits");
+	private static Contract readContract(TomlTable table) {
+		String customer = table.text("customer");
+		double share = table.number("share", 0, 1);
+		List<String> hashes = table.texts("key_hashes");
+		for (String hash : hashes) {
+			if (!SHA256.matcher(hash).matches()) {
+				table.problem("key_hashes", "\"" + hash + "\" is not a hash", "SHA-256 as 64 lower-case hex digits");
 			}
 		}
-		List<RequestClass> classes = t.tables("class").stream().map(ContractFile::readClass).toList();
-		t.finish();
+		List<RequestClass> classes = table.tables("class").stream().map(ContractFile::readClass).toList();
+		table.finish();
 		return new Contract(customer, 0, share, hashes, classes, false);
 	}
 
-	private static RequestClass readClass(TomlTable t) {
-		String name = t.text("name");
-		String upstream = t.text("upstream");
-		int priority = (int) t.whole("priority", 0, MAX_PRIORITY);
-		long ttft = t.whole("ttft_ms", 1, MAX_MS);
-		long tbt = t.whole("tbt_ms", 1, MAX_MS);
-		long deadline = t.whole("deadline_ms", 1, MAX_MS);
-		boolean repeatable = t.flag("repeatable");
-		t.finish();
+	private static RequestClass readClass(TomlTable table) {
+		String name = table.text("name");
+		String upstream = table.text("upstream");
+		int priority = (int) table.whole("priority", 0, MAX_PRIORITY);
+		long ttft = table.whole("ttft_ms", 1, MAX_MS);
+		long tbt = table.whole("tbt_ms", 1, MAX_MS);
+		long deadline = table.whole("deadline_ms", 1, MAX_MS);
+		boolean repeatable = table.flag("repeatable");
+		table.finish();
 		return new RequestClass(name, upstream, priority, ttft, tbt, deadline, repeatable);
 	}
 
--- a/src/main/java/io/shallotspur/contract/io/package-info.java
+++ b/src/main/java/io/shallotspur/contract/io/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The operators' file format of contracts.
+ * The TOML file format of contracts.
  */
 @NullMarked
 package io.shallotspur.contract.io;
--- a/src/main/java/io/shallotspur/contract/package-info.java
+++ b/src/main/java/io/shallotspur/contract/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Contracts between an operator and its customers. Every limit the router applies is
- * derived from the types in this package.
+ * Contracts between an operator and its customers. All limits that the router enforces
+ * are derived from these types.
  */
 @NullMarked
 package io.shallotspur.contract;
--- a/src/main/java/io/shallotspur/fleet/WorkerRole.java
+++ b/src/main/java/io/shallotspur/fleet/WorkerRole.java
@@ -1,12 +1,12 @@
 package io.shallotspur.fleet;
 
 /**
- * What a worker does.
+ * The role of a worker.
  */
 public enum WorkerRole {
 
 	/**
-	 * Reads prompts and exports their KV cache, one prompt at a time.
+	 * Prefills prompts, one at a time, and exports their KV cache.
 	 */
 	PREFILL,
 
@@ -16,7 +16,7 @@
 	DECODE,
 
 	/**
-	 * Serves the calls of a plain service.
+	 * Serves the calls to a plain upstream.
 	 */
 	PLAIN
 
--- a/src/main/java/io/shallotspur/fleet/package-info.java
+++ b/src/main/java/io/shallotspur/fleet/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The upstreams the router places work on, and their workers.
+ * The workers to which the router dispatches requests, and their roles.
  */
 @NullMarked
 package io.shallotspur.fleet;
--- a/src/test/java/io/shallotspur/contract/io/ContractFileTests.java
+++ b/src/test/java/io/shallotspur/contract/io/ContractFileTests.java
@@ -12,13 +12,13 @@
 
 class ContractFileTests {
 
-	private static final String GOOD = contract("acme", "0.6", "2000", "15000");
+	private static final String VALID = contract("acme", "0.6", "2000", "15000");
 
 	@Test
 	void readsContracts() throws Exception {
-		List<Contract> l = ContractFile.parse(GOOD + contract("globex", "0.4", "100", "100"), "c.toml");
-		assertThat(l).extracting(Contract::customer).containsExactly("acme", "globex");
-		assertThat(l.get(0).classes().get(0).deadlineMs()).isEqualTo(15000);
+		List<Contract> contracts = ContractFile.parse(VALID + contract("globex", "0.4", "100", "100"), "c.toml");
+		assertThat(contracts).extracting(Contract::customer).containsExactly("acme", "globex");
+		assertThat(contracts.get(0).classes().get(0).deadlineMs()).isEqualTo(15000);
 	}
 
 	@Test
@@ -49,18 +49,18 @@
 	}
 
 	@Test
-	void sharesOfAnUpstreamAddUpToOneAtMost() {
-		assertInvalid(GOOD + contract("globex", "0.5", "100", "100"), "upstream llm");
+	void rejectsSharesOfAnUpstreamThatExceedOne() {
+		assertInvalid(VALID + contract("globex", "0.5", "100", "100"), "upstream llm");
 	}
 
 	@Test
-	void aTargetAfterTheDeadlineIsImpossible() {
+	void rejectsTargetGreaterThanTheDeadline() {
 		assertInvalid(contract("acme", "0.6", "2000", "1000"), "acme/summary.ttft_ms");
 	}
 
 	@Test
-	void aCustomerIsThereOnce() {
-		assertInvalid(contract("acme", "0.1", "1", "1") + contract("acme", "0.1", "1", "1"), "acme: is there twice");
+	void rejectsDuplicateCustomer() {
+		assertInvalid(contract("acme", "0.1", "1", "1") + contract("acme", "0.1", "1", "1"), "acme: is duplicated");
 	}
 
 	private static void assertInvalid(String text, String message) {
