--- a/src/main/java/io/shallotspur/distribution/AntiEntropy.java
+++ b/src/main/java/io/shallotspur/distribution/AntiEntropy.java
@@ -17,8 +17,10 @@
 import io.shallotspur.distribution.ContractMessage.LeavesRequest;
 
 /**
- * The questions and answers by which one table finds what another has newer. Each step is
- * bounded: what does not fit is found in the next second's exchange. Stateless.
+ * The requests and replies of an anti-entropy exchange, in which one table obtains the
+ * newer contracts of another. The exchange descends the hash trees of both tables in
+ * three round trips: group hashes, leaf hashes and contracts. Each step is bounded in
+ * size; remaining differences are found in the exchange of the next second. Stateless.
  */
 public final class AntiEntropy {
 
@@ -30,21 +32,21 @@
 	}
 
 	/**
-	 * Answers the first question.
-	 * @param table the table that is asked
-	 * @param ready whether it is complete
-	 * @param request the question
-	 * @return the answer
+	 * Creates the reply to the first request.
+	 * @param table the table of the responder
+	 * @param ready whether the table is complete
+	 * @param request the request
+	 * @return the reply
 	 */
 	public static DigestReply reply(ContractTable table, boolean ready, DigestRequest request) {
 		return new DigestReply(ready, (request.digest() == table.digest()) ? new long[0] : table.groupDigests());
 	}
 
 	/**
-	 * Asks the second question.
-	 * @param table the table that asks
-	 * @param reply the answer to the first one
-	 * @return the groups that differ, empty if none does
+	 * Creates the second request.
+	 * @param table the table of the requester
+	 * @param reply the reply to the first request
+	 * @return a request for the groups that differ, which is empty if none does
 	 */
 	public static LeavesRequest leavesRequest(ContractTable table, DigestReply reply) {
 		long[] own = table.groupDigests();
@@ -56,10 +58,10 @@
 	}
 
 	/**
-	 * Answers the second question.
-	 * @param table the table that is asked
-	 * @param request the question
-	 * @return the answer
+	 * Creates the reply to the second request.
+	 * @param table the table of the responder
+	 * @param request the request
+	 * @return the reply
 	 */
 	public static LeavesReply reply(ContractTable table, LeavesRequest request) {
 		return new LeavesReply(IntStream.of(request.groups())
@@ -70,46 +72,48 @@
 	}
 
 	/**
-	 * Asks the third question.
-	 * @param table the table that asks
-	 * @param asked the second question
-	 * @param reply the answer to it
-	 * @return the leaves that differ, with what this table holds in them
+	 * Creates the third request.
+	 * @param table the table of the requester
+	 * @param request the second request
+	 * @param reply the reply to the second request
+	 * @return a request for the leaves that differ, with the revisions that this table
+	 * holds in them
 	 */
-	public static ContractsRequest contractsRequest(ContractTable table, LeavesRequest asked, LeavesReply reply) {
+	public static ContractsRequest contractsRequest(ContractTable table, LeavesRequest request, LeavesReply reply) {
 		List<Integer> leaves = new ArrayList<>();
 		int i = 0;
-		for (int g : asked.groups()) {
-			long[] own = table.leafDigests(g);
+		for (int group : request.groups()) {
+			long[] own = table.leafDigests(group);
 			for (int k = 0; k < own.length && i < reply.leafDigests().length; k++, i++) {
 				if (own[k] != reply.leafDigests()[i] && leaves.size() < MAX_LEAVES) {
-					leaves.add(g * ContractTable.LEAVES_PER_GROUP + k);
+					leaves.add(group * ContractTable.LEAVES_PER_GROUP + k);
 				}
 			}
 		}
 		List<HeldRevision> held = new ArrayList<>();
-		leaves.forEach((l) -> table.contractsInLeaf(l).forEach((c) -> held.add(new HeldRevision(c.customer(), c.revision()))));
+		leaves.forEach((leaf) -> table.contractsInLeaf(leaf)
+			.forEach((c) -> held.add(new HeldRevision(c.customer(), c.revision()))));
 		return new ContractsRequest(leaves.stream().mapToInt(Integer::intValue).toArray(), held);
 	}
 
 	/**
-	 * Answers the third question.
-	 * @param table the table that is asked
-	 * @param request the question
-	 * @return the contracts that are newer here
+	 * Creates the reply to the third request.
+	 * @param table the table of the responder
+	 * @param request the request
+	 * @return the contracts that are newer than those of the requester
 	 */
 	public static ContractsReply reply(ContractTable table, ContractsRequest request) {
 		Map<String, Long> held = new HashMap<>();
 		request.heldRevisions().forEach((h) -> held.put(h.customer(), h.revision()));
-		List<Contract> l = new ArrayList<>();
+		List<Contract> newer = new ArrayList<>();
 		IntStream.of(request.leaves()).limit(MAX_LEAVES).forEach((leaf) -> {
 			for (Contract c : table.contractsInLeaf(leaf)) {
 				if (c.revision() > held.getOrDefault(c.customer(), 0L)) {
-					l.add(c);
+					newer.add(c);
 				}
 			}
 		});
-		return new ContractsReply(l);
+		return new ContractsReply(newer);
 	}
 
 }
--- a/src/main/java/io/shallotspur/distribution/ContractBucket.java
+++ b/src/main/java/io/shallotspur/distribution/ContractBucket.java
@@ -7,23 +7,24 @@
 import io.shallotspur.contract.Contract;
 
 /**
- * The value of one record of the key-value service: the contracts of all customers whose
- * names hash to it, and the last changes that were made. Immutable.
+ * The value of one record in the key-value store: the contracts of all customers whose
+ * names hash to this bucket, and the latest changes made to them. Immutable.
  * <p>
- * Invariant: the revision rises by one with each change, and each contract carries the
- * revision of its own last change.
+ * Invariant: each change increments the revision by one, and each contract carries the
+ * revision of its own latest change.
  *
  * @param revision the number of changes so far
- * @param contracts the contracts, tombstones among them
- * @param changes the last changes, the newest at the end
+ * @param contracts the contracts, including tombstones
+ * @param changes the latest changes, the newest last
  */
 record ContractBucket(long revision, List<Contract> contracts, List<Change> changes) {
 
 	static final ContractBucket EMPTY = new ContractBucket(0, List.of(), List.of());
 
 	/**
-	 * A lost answer is settled within seconds. To overlook its change it would take this
-	 * many other changes of the same bucket meanwhile.
+	 * The outcome of a write whose response was lost is determined within seconds. A
+	 * change could be missed only if this many other changes of the same bucket were made
+	 * in that time.
 	 */
 	private static final int MAX_RECORDED_CHANGES = 32;
 
@@ -37,24 +38,25 @@
 	}
 
 	Optional<Change> findChange(String id) {
-		return this.changes.stream().filter((c) -> c.id().equals(id)).findFirst();
+		return this.changes.stream().filter((change) -> change.id().equals(id)).findFirst();
 	}
 
 	ContractBucket withChange(ContractChange change) {
-		long next = this.revision + 1;
-		List<Contract> l = new ArrayList<>(this.contracts);
-		l.removeIf((c) -> c.customer().equals(change.contract().customer()));
-		l.add(change.contract().withRevision(next));
-		List<Change> h = new ArrayList<>(this.changes);
-		h.add(new Change(change.changeId(), next));
-		return new ContractBucket(next, l, h.subList(Math.max(0, h.size() - MAX_RECORDED_CHANGES), h.size()));
+		long nextRevision = this.revision + 1;
+		List<Contract> updated = new ArrayList<>(this.contracts);
+		updated.removeIf((c) -> c.customer().equals(change.contract().customer()));
+		updated.add(change.contract().withRevision(nextRevision));
+		List<Change> recorded = new ArrayList<>(this.changes);
+		recorded.add(new Change(change.changeId(), nextRevision));
+		return new ContractBucket(nextRevision, updated,
+				recorded.subList(Math.max(0, recorded.size() - MAX_RECORDED_CHANGES), recorded.size()));
 	}
 
 	/**
 	 * A change that took effect.
 	 *
-	 * @param id the id its author gave it
-	 * @param revision the revision it made
+	 * @param id the change id assigned by its author
+	 * @param revision the revision that the change created
 	 */
 	record Change(String id, long revision) {
 
--- a/src/main/java/io/shallotspur/distribution/ContractChange.java
+++ b/src/main/java/io/shallotspur/distribution/ContractChange.java
@@ -3,22 +3,23 @@
 import io.shallotspur.contract.Contract;
 
 /**
- * What an operator wants changed. Immutable.
+ * A change of a contract requested by an operator. Immutable.
  *
- * @param changeId unique; the same change sent twice is carried out once
- * @param contract the new terms; its revision is of no meaning
- * @param expectedRevision the revision that the operator has seen, {@link #ABSENT} if there must be
- * no contract in force, or {@link #ANY_REVISION}
+ * @param changeId the unique id of the change; a change that is sent repeatedly is
+ * applied once
+ * @param contract the new terms; their revision is ignored
+ * @param expectedRevision the revision that the change is based on, {@link #ABSENT} if
+ * there must be no contract in force, or {@link #ANY_REVISION}
  */
 public record ContractChange(String changeId, Contract contract, long expectedRevision) {
 
 	/**
-	 * There must be no contract in force for the customer.
+	 * The customer must have no contract in force.
 	 */
 	public static final long ABSENT = 0;
 
 	/**
-	 * Whatever the present revision is.
+	 * The change applies to any revision.
 	 */
 	public static final long ANY_REVISION = -1;
 
--- a/src/main/java/io/shallotspur/distribution/ContractJson.java
+++ b/src/main/java/io/shallotspur/distribution/ContractJson.java
@@ -15,7 +15,7 @@
 import io.shallotspur.port.StoreRecord;
 
 /**
- * The JSON form of contracts, in the store and in the operators' API. Stateless and
+ * Reads and writes contracts as JSON, for the store and for the admin API. Stateless and
  * thread-safe.
  */
 public final class ContractJson {
@@ -32,7 +32,7 @@
 	}
 
 	/**
-	 * Writes a value in the form of the operators' API.
+	 * Serializes a value for the admin API.
 	 * @param value a contract or a list of contracts
 	 * @return the JSON
 	 */
@@ -46,25 +46,26 @@
 	}
 
 	/**
-	 * Reads a contract as an operator wrote it. An unknown field is an error.
+	 * Parses a contract submitted by an operator. Unknown fields are rejected.
 	 * @param body the JSON
-	 * @param customer the customer it must be about
+	 * @param customer the customer to whom the contract must belong
 	 * @return the contract with revision 0, not yet validated
-	 * @throws ContractInvalidException if it is malformed or about someone else
+	 * @throws ContractInvalidException if the contract is malformed, retired or belongs
+	 * to another customer
 	 */
 	public static Contract readContract(byte[] body, String customer) throws ContractInvalidException {
 		Contract c = parse(body, customer);
 		if (!customer.equals(c.customer())) {
-			throw new ContractInvalidException("the contract is about another customer: " + c.customer(), customer);
+			throw new ContractInvalidException("the contract belongs to another customer: " + c.customer(), customer);
 		}
 		if (c.retired()) {
-			throw new ContractInvalidException("a contract is retired by DELETE", customer);
+			throw new ContractInvalidException("contracts can only be retired with DELETE", customer);
 		}
 		return c.withRevision(0);
 	}
 
-	static byte[] writeBucket(ContractBucket b) {
-		return write(b);
+	static byte[] writeBucket(ContractBucket bucket) {
+		return write(bucket);
 	}
 
 	static ContractBucket readBucket(StoreRecord rec) throws StoreUnavailableException {
@@ -72,7 +73,7 @@
 			return LENIENT.readValue(rec.value(), ContractBucket.class);
 		}
 		catch (IOException ex) {
-			throw new StoreUnavailableException("the record cannot be read", rec.key(), ex);
+			throw new StoreUnavailableException("the record is not a valid contract bucket", rec.key(), ex);
 		}
 	}
 
@@ -80,18 +81,18 @@
 		try {
 			Contract c = STRICT.readValue(body, Contract.class);
 			if (c == null) {
-				throw new ContractInvalidException("the body is empty", customer);
+				throw new ContractInvalidException("the request body is JSON null", customer);
 			}
 			return c;
 		}
 		catch (IOException ex) {
-			throw new ContractInvalidException("the contract cannot be read: " + firstLine(ex), customer, ex);
+			throw new ContractInvalidException("the contract is malformed: " + firstLine(ex), customer, ex);
 		}
 	}
 
 	private static String firstLine(IOException ex) {
-		String m = (ex instanceof JsonProcessingException e) ? e.getOriginalMessage() : ex.getMessage();
-		return String.valueOf(m).lines().findFirst().orElse("");
+		String message = (ex instanceof JsonProcessingException e) ? e.getOriginalMessage() : ex.getMessage();
+		return String.valueOf(message).lines().findFirst().orElse("");
 	}
 
 }
--- a/src/main/java/io/shallotspur/distribution/ContractMessage.java
+++ b/src/main/java/io/shallotspur/distribution/ContractMessage.java
@@ -6,12 +6,13 @@
 import io.shallotspur.port.PeerMessage;
 
 /**
- * The messages that spread contracts. All are immutable; type numbers 20 to 39.
+ * Messages that distribute contracts between VMs. All are immutable and have type numbers
+ * from 20 to 39.
  */
 public sealed interface ContractMessage extends PeerMessage {
 
 	/**
-	 * New contracts, passed on at once by those to whom they are news.
+	 * New contracts. A recipient immediately forwards those that are newer than its own.
 	 *
 	 * @param contracts the contracts
 	 */
@@ -24,18 +25,18 @@
 	}
 
 	/**
-	 * Asks whether two tables are equal.
+	 * Requests a comparison of two tables.
 	 *
-	 * @param digest hash of the asker's table
+	 * @param digest hash of the requester's table
 	 */
 	record DigestRequest(long digest) implements ContractMessage {
 
 	}
 
 	/**
-	 * Tells whether two tables are equal.
+	 * The result of comparing two tables.
 	 *
-	 * @param ready whether the table is complete
+	 * @param ready whether the table of the responder is complete
 	 * @param groupDigests hashes of the groups; empty if the tables are equal
 	 */
 	record DigestReply(boolean ready, long[] groupDigests) implements ContractMessage {
@@ -43,16 +44,16 @@
 	}
 
 	/**
-	 * Asks for the hashes of the leaves of some groups.
+	 * Requests the hashes of the leaves in some groups.
 	 *
-	 * @param groups the groups
+	 * @param groups the indices of the groups
 	 */
 	record LeavesRequest(int[] groups) implements ContractMessage {
 
 	}
 
 	/**
-	 * The hashes of the leaves, in the order asked.
+	 * The hashes of the leaves, in the order of the requested groups.
 	 *
 	 * @param leafDigests the hashes
 	 */
@@ -61,10 +62,10 @@
 	}
 
 	/**
-	 * Asks for what is newer in some leaves.
+	 * Requests the newer contracts in some leaves.
 	 *
-	 * @param leaves the leaves
-	 * @param heldRevisions what the asker holds in them
+	 * @param leaves the indices of the leaves, counted over all groups
+	 * @param heldRevisions the revisions that the requester holds in these leaves
 	 */
 	record ContractsRequest(int[] leaves, List<HeldRevision> heldRevisions) implements ContractMessage {
 
@@ -75,7 +76,7 @@
 	}
 
 	/**
-	 * A revision that a table holds.
+	 * The revision of a contract in a table.
 	 *
 	 * @param customer the customer
 	 * @param revision the revision
@@ -85,7 +86,7 @@
 	}
 
 	/**
-	 * Contracts that the asker lacks.
+	 * Contracts that are missing or outdated at the requester.
 	 *
 	 * @param contracts the contracts
 	 */
@@ -98,10 +99,10 @@
 	}
 
 	/**
-	 * Asks for all contracts as a stream of {@link ContractsReply}. Fails if the peer's
-	 * own table is not complete.
+	 * Requests all contracts as a stream of {@link ContractsReply}. Fails if the table of
+	 * the responder is not complete.
 	 *
-	 * @param requesterId who asks
+	 * @param requesterId the id of the requesting VM
 	 */
 	record SnapshotRequest(String requesterId) implements ContractMessage {
 
--- a/src/main/java/io/shallotspur/distribution/ContractStore.java
+++ b/src/main/java/io/shallotspur/distribution/ContractStore.java
@@ -19,16 +19,16 @@
 import io.shallotspur.port.StoreRecord;
 
 /**
- * The contracts in the key-value service. Thread-safe.
+ * Reads and changes the contracts in the key-value store. Thread-safe.
  * <p>
  * Invariants: a change is accepted only if its compare-and-swap took effect, and takes
- * effect at most once; the revision of a customer's contract only rises.
+ * effect at most once; the revision of a customer's contract only increases.
  */
 public final class ContractStore {
 
 	/**
-	 * All records with contracts have keys under this prefix, followed by three
-	 * hexadecimal digits of the customer's bucket.
+	 * The key prefix of all contract records. It is followed by the number of the
+	 * customer's bucket as three hexadecimal digits.
 	 */
 	public static final String KEY_PREFIX = "contracts/";
 
@@ -45,9 +45,10 @@
 	private final LongFunction<Mono<?>> delay;
 
 	/**
-	 * Creates a view of the store.
+	 * Creates an instance that accesses the given store.
 	 * @param store the store
-	 * @param delay completes after some milliseconds; used between tries
+	 * @param delay returns a publisher that completes after the given number of
+	 * milliseconds; used between attempts
 	 */
 	public ContractStore(KvStore store, LongFunction<Mono<?>> delay) {
 		this.store = store;
@@ -55,30 +56,32 @@
 	}
 
 	/**
-	 * Carries out a change. Fails with {@link ContractConflictException} if the contract
-	 * has another revision than the expected one, {@link StoreUnavailableException} if
-	 * the change surely did not take effect, or {@link StoreUnknownException} if it may
-	 * have; sending the same change again settles that.
-	 * @param change the change, validated
-	 * @return the contract with the revision under which it was accepted
+	 * Applies a change. Fails with {@link ContractConflictException} if the contract does
+	 * not have the expected revision, {@link StoreUnavailableException} if the change
+	 * certainly did not take effect, or {@link StoreUnknownException} if it may have
+	 * taken effect. In the last case, sending the same change again determines the
+	 * outcome.
+	 * @param change the validated change
+	 * @return the contract with the revision that the change created
 	 */
 	public Mono<Contract> apply(ContractChange change) {
 		return attempt(change, 1, false);
 	}
 
 	/**
-	 * Reads contracts.
-	 * @param digits the first digits of the buckets that are wanted, or empty for all
-	 * @return the contracts, tombstones among them
+	 * Lists contracts.
+	 * @param bucketPrefix the leading hexadecimal digits of the buckets to list, or empty
+	 * for all
+	 * @return the contracts, including tombstones
 	 */
-	public Mono<List<Contract>> list(String digits) {
-		return this.store.list(KEY_PREFIX + digits).map(ContractStore::contracts);
+	public Mono<List<Contract>> list(String bucketPrefix) {
+		return this.store.list(KEY_PREFIX + bucketPrefix).map(ContractStore::contracts);
 	}
 
 	/**
 	 * Watches for changes.
-	 * @return the contracts of the buckets that change; ends with an error when the store
-	 * is lost
+	 * @return all contracts of each bucket that changes; ends with an error if the
+	 * connection to the store is lost
 	 */
 	public Flux<List<Contract>> watch() {
 		return this.store.watch(KEY_PREFIX).map((rec) -> contracts(List.of(rec)));
@@ -88,63 +91,66 @@
 		return KEY_PREFIX + String.format("%03x", Math.floorMod(HASH.hashChars(customer), (long) BUCKET_COUNT));
 	}
 
-	private Mono<Contract> attempt(ContractChange change, int number, boolean uncertain) {
+	private Mono<Contract> attempt(ContractChange change, int attemptNumber, boolean mayHaveTakenEffect) {
 		String key = key(change.contract().customer());
 		return this.store.get(key)
 			.map((rec) -> readBucket(rec))
-			.defaultIfEmpty(new Versioned(KvStore.ABSENT, ContractBucket.EMPTY))
-			.onErrorMap((ex) -> uncertain, (ex) -> outcomeUnknown(key, ex))
-			.flatMap((v) -> compareAndSwap(change, key, v, number, uncertain));
+			.defaultIfEmpty(new VersionedBucket(KvStore.ABSENT, ContractBucket.EMPTY))
+			.onErrorMap((ex) -> mayHaveTakenEffect, (ex) -> outcomeUnknown(key, ex))
+			.flatMap((current) -> compareAndSwap(change, key, current, attemptNumber, mayHaveTakenEffect));
 	}
 
-	private Mono<Contract> compareAndSwap(ContractChange change, String key, Versioned v, int number, boolean uncertain) {
-		ContractBucket.Change done = v.bucket().findChange(change.changeId()).orElse(null);
-		if (done != null) {
-			return Mono.just(change.contract().withRevision(done.revision()));
+	private Mono<Contract> compareAndSwap(ContractChange change, String key, VersionedBucket current, int attemptNumber,
+			boolean mayHaveTakenEffect) {
+		ContractBucket.Change applied = current.bucket().findChange(change.changeId()).orElse(null);
+		if (applied != null) {
+			return Mono.just(change.contract().withRevision(applied.revision()));
 		}
-		long current = v.bucket()
+		long currentRevision = current.bucket()
 			.find(change.contract().customer())
 			.filter((c) -> !c.retired())
 			.map(Contract::revision)
 			.orElse(ContractChange.ABSENT);
-		if (change.expectedRevision() != ContractChange.ANY_REVISION && change.expectedRevision() != current) {
-			// An earlier try of this change whose answer was lost can no longer take
-			// effect: the record has moved on from the version it expects, and the list
-			// of changes would name it if it had.
-			return Mono.error(new ContractConflictException(
-					"the contract has revision " + current + ", the change expects " + change.expectedRevision(),
-					change.contract().customer(), current));
+		if (change.expectedRevision() != ContractChange.ANY_REVISION && change.expectedRevision() != currentRevision) {
+			// An earlier attempt whose response was lost can no longer take effect: the
+			// record has a newer version than that attempt expects. If it had taken
+			// effect, the recorded changes would contain it.
+			return Mono.error(new ContractConflictException("the contract has revision " + currentRevision
+					+ ", but the change expects revision " + change.expectedRevision(), change.contract().customer(),
+					currentRevision));
 		}
-		ContractBucket next = v.bucket().withChange(change);
-		return this.store.compareAndSwap(key, v.version(), ContractJson.writeBucket(next))
+		ContractBucket next = current.bucket().withChange(change);
+		return this.store.compareAndSwap(key, current.version(), ContractJson.writeBucket(next))
 			.thenReturn(change.contract().withRevision(next.revision()))
-			.onErrorResume(StoreException.class, (ex) -> retry(change, key, ex, number, uncertain));
+			.onErrorResume(StoreException.class, (ex) -> retry(change, key, ex, attemptNumber, mayHaveTakenEffect));
 	}
 
-	private Mono<Contract> retry(ContractChange change, String key, StoreException ex, int number, boolean uncertain) {
+	private Mono<Contract> retry(ContractChange change, String key, StoreException ex, int attemptNumber,
+			boolean mayHaveTakenEffect) {
 		boolean conflict = ex instanceof StoreConflictException;
-		boolean lost = uncertain || ex instanceof StoreUnknownException;
+		boolean outcomeUnknown = mayHaveTakenEffect || ex instanceof StoreUnknownException;
 		if (!conflict && !(ex instanceof StoreUnknownException)) {
-			return Mono.error(uncertain ? outcomeUnknown(key, ex) : ex);
+			return Mono.error(mayHaveTakenEffect ? outcomeUnknown(key, ex) : ex);
 		}
-		if (number >= MAX_ATTEMPTS) {
-			return Mono.error(lost ? outcomeUnknown(key, ex)
-					: new StoreUnavailableException("too many others write this record; try again", key, ex));
+		if (attemptNumber >= MAX_ATTEMPTS) {
+			return Mono.error(outcomeUnknown ? outcomeUnknown(key, ex)
+					: new StoreUnavailableException("too many concurrent writes to this record; try again", key, ex));
 		}
-		// A lost answer must be settled before the operator is told anything. The next
-		// try expects the version that it reads, so that of two tries that are still
-		// under way one at most takes effect.
-		Mono<Contract> again = Mono.defer(() -> attempt(change, number + 1, lost));
-		return this.delay.apply(RETRY_DELAY_MS * number).then(again);
+		// The outcome of a lost response must be determined before the operator gets a
+		// response. The next attempt expects the version that it reads, so that at most
+		// one of two pending attempts takes effect.
+		Mono<Contract> nextAttempt = Mono.defer(() -> attempt(change, attemptNumber + 1, outcomeUnknown));
+		return this.delay.apply(RETRY_DELAY_MS * attemptNumber).then(nextAttempt);
 	}
 
 	private static StoreUnknownException outcomeUnknown(String key, Throwable ex) {
-		return new StoreUnknownException("the change may have been accepted; send the same change again", key, ex);
+		return new StoreUnknownException(
+				"the change may have taken effect; send the same change again to determine the outcome", key, ex);
 	}
 
-	private static Versioned readBucket(StoreRecord rec) {
+	private static VersionedBucket readBucket(StoreRecord rec) {
 		try {
-			return new Versioned(rec.version(), ContractJson.readBucket(rec));
+			return new VersionedBucket(rec.version(), ContractJson.readBucket(rec));
 		}
 		catch (StoreUnavailableException ex) {
 			throw Exceptions.propagate(ex);
@@ -152,12 +158,12 @@
 	}
 
 	private static List<Contract> contracts(List<StoreRecord> records) {
-		List<Contract> l = new ArrayList<>();
-		records.forEach((rec) -> l.addAll(readBucket(rec).bucket().contracts()));
-		return l;
+		List<Contract> contracts = new ArrayList<>();
+		records.forEach((rec) -> contracts.addAll(readBucket(rec).bucket().contracts()));
+		return contracts;
 	}
 
-	private record Versioned(long version, ContractBucket bucket) {
+	private record VersionedBucket(long version, ContractBucket bucket) {
 
 	}
 
--- a/src/main/java/io/shallotspur/distribution/ContractTable.java
+++ b/src/main/java/io/shallotspur/distribution/ContractTable.java
@@ -14,11 +14,12 @@
 import io.shallotspur.contract.ContractSet;
 
 /**
- * The newest revision of each contract that this VM has seen, with a tree of hashes to
- * compare two tables cheaply. Not thread-safe.
+ * The newest revision of each contract known to this VM, with a hash tree for the
+ * efficient comparison of two tables. The tree has three levels: the table, its groups
+ * and their leaves. Not thread-safe.
  * <p>
- * Invariant: a contract is only ever replaced by one with a higher revision, so nothing
- * that a partition, a stale watch or a late message brings can make a contract revert.
+ * Invariant: a contract is only ever replaced by one with a higher revision, so that no
+ * partition, stale watch or delayed message can revert a contract.
  */
 public final class ContractTable {
 
@@ -52,9 +53,9 @@
 	}
 
 	/**
-	 * Takes a contract if it is newer than the one held.
-	 * @param c the contract, or its tombstone
-	 * @return whether it was newer
+	 * Stores a contract if it is newer than the one in the table.
+	 * @param c the contract or its tombstone
+	 * @return whether the contract was stored
 	 */
 	public boolean updateIfNewer(Contract c) {
 		Contract old = this.contracts.get(c.customer());
@@ -70,20 +71,20 @@
 	}
 
 	/**
-	 * Returns the contracts in force.
-	 * @return an immutable set, the same one until something changes
+	 * Returns a snapshot of the contracts.
+	 * @return an immutable set; the same instance until the table changes
 	 */
 	public ContractSet snapshot() {
-		ContractSet s = this.snapshot;
-		if (s == null) {
-			s = ContractSet.of(this.contracts.values());
-			this.snapshot = s;
+		ContractSet set = this.snapshot;
+		if (set == null) {
+			set = ContractSet.of(this.contracts.values());
+			this.snapshot = set;
 		}
-		return s;
+		return set;
 	}
 
 	/**
-	 * Returns all contracts, tombstones among them.
+	 * Returns all contracts, including tombstones.
 	 * @return a copy
 	 */
 	public List<Contract> all() {
@@ -91,15 +92,15 @@
 	}
 
 	/**
-	 * Returns how many contracts are held, tombstones among them.
-	 * @return the number
+	 * Returns the number of contracts, including tombstones.
+	 * @return the number of contracts
 	 */
 	public int size() {
 		return this.contracts.size();
 	}
 
 	/**
-	 * Returns the hash of everything.
+	 * Returns the hash of the entire table.
 	 * @return the hash
 	 */
 	public long digest() {
@@ -111,16 +112,16 @@
 	 * @return {@link #GROUP_COUNT} hashes
 	 */
 	public long[] groupDigests() {
-		long[] g = new long[GROUP_COUNT];
+		long[] digests = new long[GROUP_COUNT];
 		for (int i = 0; i < GROUP_COUNT; i++) {
-			g[i] = HASH.hashLongs(leafDigests(i));
+			digests[i] = HASH.hashLongs(leafDigests(i));
 		}
-		return g;
+		return digests;
 	}
 
 	/**
-	 * Returns the hashes of the leaves of a group.
-	 * @param group the group
+	 * Returns the hashes of the leaves in a group.
+	 * @param group the index of the group
 	 * @return {@link #LEAVES_PER_GROUP} hashes; empty if there is no such group
 	 */
 	public long[] leafDigests(int group) {
@@ -131,8 +132,8 @@
 	}
 
 	/**
-	 * Returns the contracts of a leaf.
-	 * @param leaf the leaf, counted over all groups
+	 * Returns the contracts in a leaf.
+	 * @param leaf the index of the leaf, counted over all groups
 	 * @return an unmodifiable view; empty if there is no such leaf
 	 */
 	public Collection<Contract> contractsInLeaf(int leaf) {
--- a/src/main/java/io/shallotspur/distribution/package-info.java
+++ b/src/main/java/io/shallotspur/distribution/package-info.java
@@ -1,5 +1,5 @@
 /**
- * How contracts are kept in the key-value service and spread to all entry VMs.
+ * Storage of contracts in the key-value store and their distribution to all entry VMs.
  */
 @NullMarked
 package io.shallotspur.distribution;
--- a/src/test/java/io/shallotspur/distribution/ContractStoreTests.java
+++ b/src/test/java/io/shallotspur/distribution/ContractStoreTests.java
@@ -24,7 +24,7 @@
 	private final ContractStore store = new ContractStore(this.kv, (ms) -> Mono.delay(Duration.ofMillis(ms)));
 
 	@Test
-	void createsChangesAndRetires() {
+	void createsUpdatesAndRetiresContracts() {
 		assertThat(apply("c1", 0.5, ContractChange.ABSENT)).isEqualTo(1);
 		assertThat(apply("c2", 0.6, 1)).isEqualTo(2);
 		ContractChange retire = new ContractChange("c3", Contracts.contract("lonestar", 0.6).toTombstone(), 2);
@@ -36,28 +36,29 @@
 	}
 
 	/**
-	 * Two operators change one contract at once. The second one to arrive must learn that
-	 * the terms are not those it saw, and which revision is current.
+	 * Two operators change one contract concurrently. The second change must be refused,
+	 * because it is based on an outdated revision, and must report the current one.
 	 */
 	@Test
-	void theSecondOfTwoOperatorsIsTold() {
+	void secondOfTwoConcurrentChangesConflicts() {
 		apply("c1", 0.5, ContractChange.ABSENT);
 		apply("c2", 0.6, 1);
 		StepVerifier.create(this.store.apply(Contracts.change("c3", "lonestar", 0.7, 1)))
 			.verifyErrorSatisfies((ex) -> assertThat(ex).isInstanceOfSatisfying(ContractConflictException.class,
-					(c) -> assertThat(c.getCurrentRevision()).isEqualTo(2)));
+					(conflict) -> assertThat(conflict.getCurrentRevision()).isEqualTo(2)));
 		StepVerifier.create(this.store.apply(Contracts.change("c4", "lonestar", 0.7, ContractChange.ABSENT)))
 			.verifyError(ContractConflictException.class);
 		assertThat(this.store.list("").block().get(0).share()).isEqualTo(0.6);
 	}
 
 	/**
-	 * The store takes the write and its answer is lost. An operator who is told that it
-	 * failed makes the change again, on top of itself; one who is told that it was
-	 * accepted when it was not believes terms that are not in force.
+	 * The store applies a write and its response is lost. If the change were reported as
+	 * failed, the operator would apply it a second time; if a change that did not take
+	 * effect were reported as accepted, the operator would rely on terms that are not in
+	 * force.
 	 */
 	@Test
-	void aLostAnswerIsSettled() {
+	void outcomeOfLostResponseIsDetermined() {
 		this.kv.failNextWrites(Fault.LOST_AFTER_EFFECT);
 		assertThat(apply("c1", 0.5, ContractChange.ABSENT)).isEqualTo(1);
 		this.kv.failNextWrites(Fault.LOST_BEFORE_EFFECT, Fault.LOST_AFTER_EFFECT);
@@ -67,16 +68,16 @@
 	}
 
 	/**
-	 * The answer is lost and then the store goes away. Nobody can know whether the change
-	 * took effect, and the operator must be told just that. With a plain refusal it is
-	 * certain that nothing changed.
+	 * The response is lost and then the store becomes unavailable, so the outcome of the
+	 * change cannot be determined and must be reported as unknown. If the store is
+	 * unavailable from the start, it is certain that nothing changed.
 	 */
 	@Test
-	void whatCannotBeSettledIsUnknown() {
+	void undeterminedOutcomeIsReportedAsUnknown() {
 		this.kv.failNextWrites(Fault.LOST_AFTER_EFFECT);
-		Mono<Contract> c = this.store.apply(Contracts.change("c1", "lonestar", 0.5, ContractChange.ABSENT))
+		Mono<Contract> result = this.store.apply(Contracts.change("c1", "lonestar", 0.5, ContractChange.ABSENT))
 			.doOnSubscribe((s) -> this.kv.holdAnswers());
-		StepVerifier.create(c).then(() -> {
+		StepVerifier.create(result).then(() -> {
 			this.kv.releaseAnswers();
 			this.kv.setDown(true);
 		}).verifyError(StoreUnknownException.class);
@@ -86,8 +87,8 @@
 		assertThat(apply("c1", 0.5, ContractChange.ABSENT)).isEqualTo(1);
 	}
 
-	private long apply(String id, double share, long expected) {
-		return this.store.apply(Contracts.change(id, "lonestar", share, expected)).block().revision();
+	private long apply(String changeId, double share, long expectedRevision) {
+		return this.store.apply(Contracts.change(changeId, "lonestar", share, expectedRevision)).block().revision();
 	}
 
 }
--- a/src/test/java/io/shallotspur/distribution/ContractTableTests.java
+++ b/src/test/java/io/shallotspur/distribution/ContractTableTests.java
@@ -16,17 +16,18 @@
 class ContractTableTests {
 
 	@Property(tries = 50, seed = "42")
-	void anyOrderOfDeliveryEndsAtTheNewestRevisionsAndNeverGoesBack(@ForAll long seed) {
+	void anyDeliveryOrderConvergesToTheNewestRevisionsWithoutReverting(@ForAll long seed) {
 		Random random = new Random(seed);
-		List<Contract> sent = new ArrayList<>();
+		List<Contract> delivered = new ArrayList<>();
 		for (int i = 0; i < 300; i++) {
-			sent.add(Contracts.contract("customer-" + random.nextInt(40), 0.1).withRevision(1 + random.nextInt(20)));
+			delivered
+				.add(Contracts.contract("customer-" + random.nextInt(40), 0.1).withRevision(1 + random.nextInt(20)));
 		}
 		ContractTable a = new ContractTable();
-		sent.forEach(a::updateIfNewer);
-		Collections.shuffle(sent, random);
+		delivered.forEach(a::updateIfNewer);
+		Collections.shuffle(delivered, random);
 		ContractTable b = new ContractTable();
-		for (Contract c : sent) {
+		for (Contract c : delivered) {
 			long before = b.snapshot().find(c.customer()).map(Contract::revision).orElse(0L);
 			assertThat(b.updateIfNewer(c)).isEqualTo(c.revision() > before);
 			assertThat(b.snapshot().find(c.customer()).orElseThrow().revision()).isGreaterThanOrEqualTo(before);
@@ -36,29 +37,30 @@
 	}
 
 	@Property(tries = 20, seed = "42")
-	void comparisonFindsWhatIsMissing(@ForAll long seed) {
+	void antiEntropyFindsMissingContracts(@ForAll long seed) {
 		Random random = new Random(seed);
-		ContractTable full = new ContractTable();
-		ContractTable behind = new ContractTable();
+		ContractTable current = new ContractTable();
+		ContractTable outdated = new ContractTable();
 		for (int i = 0; i < 2000; i++) {
 			Contract c = Contracts.contract("customer-" + i, 0.1).withRevision(2);
-			full.updateIfNewer(c);
+			current.updateIfNewer(c);
 			boolean missed = random.nextInt(100) == 0;
-			behind.updateIfNewer(missed ? c.withRevision(1) : c);
+			outdated.updateIfNewer(missed ? c.withRevision(1) : c);
 		}
 		int rounds = 0;
-		while (full.digest() != behind.digest()) {
-			exchange(behind, full);
+		while (current.digest() != outdated.digest()) {
+			exchange(outdated, current);
 			assertThat(++rounds).isLessThan(20);
 		}
 	}
 
-	private static void exchange(ContractTable asker, ContractTable asked) {
-		ContractMessage.DigestReply d = AntiEntropy.reply(asked, true,
-				new ContractMessage.DigestRequest(asker.digest()));
-		ContractMessage.LeavesRequest l = AntiEntropy.leavesRequest(asker, d);
-		ContractMessage.ContractsRequest c = AntiEntropy.contractsRequest(asker, l, AntiEntropy.reply(asked, l));
-		AntiEntropy.reply(asked, c).contracts().forEach(asker::updateIfNewer);
+	private static void exchange(ContractTable requester, ContractTable responder) {
+		ContractMessage.DigestReply digestReply = AntiEntropy.reply(responder, true,
+				new ContractMessage.DigestRequest(requester.digest()));
+		ContractMessage.LeavesRequest leavesRequest = AntiEntropy.leavesRequest(requester, digestReply);
+		ContractMessage.ContractsRequest contractsRequest = AntiEntropy.contractsRequest(requester, leavesRequest,
+				AntiEntropy.reply(responder, leavesRequest));
+		AntiEntropy.reply(responder, contractsRequest).contracts().forEach(requester::updateIfNewer);
 	}
 
 }
