--- a/src/main/java/io/shallotspur/plain/StdPlainScheduler.java
+++ b/src/main/java/io/shallotspur/plain/StdPlainScheduler.java
@@ -280,7 +280,7 @@
 
 	private void refuse(CallState call, RefusalCode code, String detail) {
 		end(call);
-		Refusal refusal = call.mayHaveRun ? Refusal.unknown(code, detail)
+		Refusal refusal = call.mayHaveRun ? Refusal.outcomeUnknown(code, detail)
 				: Refusal.notRun(code, detail, RETRY_AFTER_MS);
 		this.out.accept(new PlainAction.Refuse(call.request.id(), refusal));
 	}
