--- a/src/main/java/io/shallotspur/platform/HttpStagePort.java
+++ b/src/main/java/io/shallotspur/platform/HttpStagePort.java
@@ -82,8 +82,8 @@
 			.put("operation", "stage")
 			.put("stage", StoreEntryCodec.encode(o.stage()))
 			.put("holder", o.holder())
-			.put("fencing_token", o.fence())
-			.put("expected", o.expectedOrders());
+			.put("fencing_token", o.fencingToken())
+			.put("expected", o.expectedOrderCount());
 		return this.workers.post(o.worker(), PlatformNames.ORDER_PATH, n)
 			.response()
 			.map((r) -> result(r.status().code()))
--- a/src/main/java/io/shallotspur/platform/PlatformVm.java
+++ b/src/main/java/io/shallotspur/platform/PlatformVm.java
@@ -25,7 +25,7 @@
 import io.shallotspur.registry.SharedEngineStats;
 import io.shallotspur.registry.VmLoadSampler;
 import io.shallotspur.registry.VmRegistration;
-import io.shallotspur.stage.StageKeeper;
+import io.shallotspur.stage.StageRebalancer;
 
 /**
  * One entry VM on the platform: connects the gateway to its adapters, starts and drains
@@ -62,7 +62,7 @@
 
 	private final VmRegistration registration;
 
-	private final StageKeeper stages;
+	private final StageRebalancer stages;
 
 	private final SharedEngineStats engineStats;
 
@@ -97,7 +97,7 @@
 		Leadership leadership = new Leadership(registry, this.registration, this.gateway.entryVms(), self.key(),
 				s.orders().takeoverDelayMs(), this.clock);
 		this.watcher.setLeadership(leadership);
-		this.stages = new StageKeeper(s.gateway().vmName(), this.gateway, leadership,
+		this.stages = new StageRebalancer(s.gateway().vmName(), this.gateway, leadership,
 				new HttpStagePort(workers.controlClient(), this.loop), this.loop, this.clock,
 				s.changeDeadlines().propagationMs());
 		this.engineStats = new SharedEngineStats(registry, this.gateway, this.loop,
--- a/src/main/java/io/shallotspur/stage/StageSwitch.java
+++ b/src/main/java/io/shallotspur/stage/StageChangeTask.java
@@ -20,7 +20,7 @@
  * <p>
  * Invariant: {@code then} hears once, when it has ended, whether the change is in force.
  */
-final class StageSwitch {
+final class StageChangeTask {
 
 	// A worker is back some seconds after its last request; asking is billed, ms.
 	private static final long POLL_MS = 1_500;
@@ -60,7 +60,7 @@
 
 	private long startedAt;
 
-	StageSwitch(Leadership duty, StagePort port, GatewayTimer timer, LongSupplier clock, String vm, WorkerInfo worker,
+	StageChangeTask(Leadership duty, StagePort port, GatewayTimer timer, LongSupplier clock, String vm, WorkerInfo worker,
 			WorkerStage stage, long heardByAllMs, Consumer<Boolean> then) {
 		this.duty = duty;
 		this.port = port;
@@ -132,17 +132,17 @@
 		if (startedAgain(r)) {
 			fail("worker started again");
 		}
-		else if (r.stage() == this.stage && !r.busy()) {
+		else if (r.stage() == this.stage && !r.orderInProgress()) {
 			end("in force", true);
 		}
-		else if (r.busy()) {
+		else if (r.orderInProgress()) {
 			lookLater();
 		}
 		else if (this.orders >= MOST_ORDERS) {
 			fail("orders without effect");
 		}
 		else {
-			confirm(r.orders());
+			confirm(r.acceptedOrders());
 		}
 	}
 
@@ -163,7 +163,7 @@
 	private void order(long accepted) {
 		this.orders++;
 		StageOrder o = new StageOrder(this.worker, this.stage, this.vm, this.duty.fencingToken(), accepted);
-		Logger.info("[stage] order worker={} stage={} fence={} expected={}", this.worker.id(), this.stage, o.fence(),
+		Logger.info("[stage] order worker={} stage={} fence={} expected={}", this.worker.id(), this.stage, o.fencingToken(),
 				accepted);
 		this.port.order(o).subscribe(this::taken, (ex) -> {
 			Logger.info("[stage] order without answer worker={} seen=\"{}\"", this.worker.id(), ex.toString());
--- a/src/main/java/io/shallotspur/stage/StageOrder.java
+++ b/src/main/java/io/shallotspur/stage/StageOrder.java
@@ -9,10 +9,10 @@
  * @param worker the worker; a different one at its address must not take the order
  * @param stage what it is to do
  * @param holder the VM that gives the order
- * @param fence the fencing number of the VM's duty
- * @param expectedOrders the orders that the worker has accepted; with a different number
+ * @param fencingToken the fencing number of the VM's duty
+ * @param expectedOrderCount the orders that the worker has accepted; with a different number
  * it refuses, so that an order which arrives late changes nothing
  */
-public record StageOrder(WorkerInfo worker, WorkerStage stage, String holder, long fence, long expectedOrders) {
+public record StageOrder(WorkerInfo worker, WorkerStage stage, String holder, long fencingToken, long expectedOrderCount) {
 
 }
--- a/src/main/java/io/shallotspur/stage/StageSplit.java
+++ b/src/main/java/io/shallotspur/stage/StagePlanner.java
@@ -7,7 +7,7 @@
  * wait there, while prefill workers stand idle. The platform starts a fixed part of the
  * workers as prefill workers, whatever the traffic.
  */
-final class StageSplit {
+final class StagePlanner {
 
 	// What a change has to bring beside its cost, as a part of what the workers bear. A
 	// worker is away for seconds while it changes over; it comes from the stage that has
@@ -22,7 +22,7 @@
 	// to bring at least this part of what a worker bears on the average.
 	private static final double WORTH_MOVING = 0.5;
 
-	private StageSplit() {
+	private StagePlanner() {
 	}
 
 	/**
@@ -45,13 +45,13 @@
 	 * @return how many are to prefill: the present number unless another one bears
 	 * clearly more; at least one, and one is left to decode
 	 */
-	static int prefillWorkers(int prefill, int decode, StageLoad load, double gain) {
+	static int prefillWorkers(int prefill, int decode, ThroughputModel load, double gain) {
 		int best = best(prefill, decode, load);
 		boolean enough = load.perSecond(best, prefill + decode - best) >= (1 + gain) * load.perSecond(prefill, decode);
 		return enough ? best : prefill;
 	}
 
-	private static int best(int prefill, int decode, StageLoad load) {
+	private static int best(int prefill, int decode, ThroughputModel load) {
 		int all = prefill + decode;
 		double most = load.perSecond(prefill, decode);
 		double each = WORTH_MOVING * most / all;
--- a/src/main/java/io/shallotspur/stage/StageKeeper.java
+++ b/src/main/java/io/shallotspur/stage/StageRebalancer.java
@@ -24,7 +24,7 @@
  * load needs it, while this VM holds the duty. Not thread-safe; confined to the gateway's
  * thread.
  */
-public final class StageKeeper {
+public final class StageRebalancer {
 
 	private static final long TICK_MS = 1_000;
 
@@ -62,7 +62,7 @@
 
 	private final long heardByAllMs;
 
-	private final Map<String, StageSwitch> running = new HashMap<>();
+	private final Map<String, StageChangeTask> running = new HashMap<>();
 
 	private final Map<String, Shares> shares = new HashMap<>();
 
@@ -82,7 +82,7 @@
 	 * @param heardByAllMs how long after an announcement all VMs have heard of it, in
 	 * milliseconds; no order is given before that
 	 */
-	public StageKeeper(String vm, Gateway gateway, Leadership duty, StagePort port, GatewayTimer timer,
+	public StageRebalancer(String vm, Gateway gateway, Leadership duty, StagePort port, GatewayTimer timer,
 			LongSupplier clock, long heardByAllMs) {
 		this.vm = vm;
 		this.gateway = gateway;
@@ -130,7 +130,7 @@
 		List<WorkerInfo> decode = new ArrayList<>();
 		for (WorkerInfo w : this.gateway.roster().activeWorkers(upstream, now)) {
 			// Announced or not, one that is about to change over counts as changed.
-			StageSwitch under = this.running.get(w.id());
+			StageChangeTask under = this.running.get(w.id());
 			WorkerStage stage = (under != null) ? under.stage() : w.stage();
 			if (stage == WorkerStage.PREFILL) {
 				prefill.add(w);
@@ -145,14 +145,14 @@
 			this.gateway.engineTimes(upstream)
 				.statistics()
 				.filter((f) -> f.samples() >= LEAST_SAMPLES)
-				.map((f) -> new Seen(f.samples(), StageLoad.of(f, engine)))
+				.map((f) -> new Seen(f.samples(), ThroughputModel.of(f, engine)))
 				.ifPresent((x) -> share(s, x, prefill, decode, now));
 		}
 	}
 
 	private void share(Shares s, Seen seen, List<WorkerInfo> prefill, List<WorkerInfo> decode, long now) {
-		int best = StageSplit.prefillWorkers(prefill.size(), decode.size(), seen.load(),
-				StageSplit.gain(seen.samples()));
+		int best = StagePlanner.prefillWorkers(prefill.size(), decode.size(), seen.load(),
+				StagePlanner.gain(seen.samples()));
 		WorkerStage stage = (best < prefill.size()) ? WorkerStage.DECODE : WorkerStage.PREFILL;
 		if (best == prefill.size() || !s.maySendTo(stage, now)) {
 			return;
@@ -202,7 +202,7 @@
 	}
 
 	private void begin(WorkerInfo w, WorkerStage stage, long now) {
-		StageSwitch s = new StageSwitch(this.duty, this.port, this.timer, this.clock, this.vm, w, stage,
+		StageChangeTask s = new StageChangeTask(this.duty, this.port, this.timer, this.clock, this.vm, w, stage,
 				this.heardByAllMs, (inForce) -> {
 					this.running.remove(w.id());
 					this.failedAt.values().removeIf((at) -> this.clock.getAsLong() - at >= SETTLE_MS);
@@ -218,7 +218,7 @@
 	/**
 	 * What a request costs, and how many requests show it.
 	 */
-	private record Seen(int samples, StageLoad load) {
+	private record Seen(int samples, ThroughputModel load) {
 
 	}
 
--- a/src/main/java/io/shallotspur/stage/StageLoad.java
+++ b/src/main/java/io/shallotspur/stage/ThroughputModel.java
@@ -10,7 +10,7 @@
  * @param decodeMs time for which it occupies a place at a decode worker, in milliseconds
  * @param places requests that a decode worker has memory and slots for at once
  */
-public record StageLoad(double prefillMs, double decodeMs, double places) {
+public record ThroughputModel(double prefillMs, double decodeMs, double places) {
 
 	private static final double MS_PER_S = 1_000;
 
@@ -24,11 +24,11 @@
 	 * @param engine the engines
 	 * @return the load
 	 */
-	static StageLoad of(EngineStatistics seen, EngineSpec engine) {
+	static ThroughputModel of(EngineStatistics seen, EngineSpec engine) {
 		double prefill = Math.max(1, seen.prefillMs());
 		// A place is occupied from its reservation on, which comes before the prefill.
 		double decode = prefill + Math.max(1, seen.generationMs());
-		return new StageLoad(prefill, decode, places(engine, seen.reservedTokens()));
+		return new ThroughputModel(prefill, decode, places(engine, seen.reservedTokens()));
 	}
 
 	private static double places(EngineSpec engine, double tokens) {
--- a/src/test/java/io/shallotspur/stage/FakeStagePort.java
+++ b/src/test/java/io/shallotspur/stage/FakeStagePort.java
@@ -51,7 +51,7 @@
 			return Mono.error(new EngineLostException("lost", order.worker().id()));
 		}
 		if (this.result == OrderResult.ACCEPTED) {
-			this.reports.put(order.worker().id(), new StageReport(order.stage(), true, order.expectedOrders() + 1, 0));
+			this.reports.put(order.worker().id(), new StageReport(order.stage(), true, order.expectedOrderCount() + 1, 0));
 		}
 		return this.losesAnswers ? Mono.error(new EngineLostException("lost", order.worker().id()))
 				: Mono.just(this.result);
--- a/src/test/java/io/shallotspur/stage/StageSplitTests.java
+++ b/src/test/java/io/shallotspur/stage/StagePlannerTests.java
@@ -8,20 +8,20 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests of {@link StageSplit}, with the loads it answers.
+ * Tests of {@link StagePlanner}, with the loads it answers.
  */
-class StageSplitTests {
+class StagePlannerTests {
 
 	// 42,411 tokens of memory, prompts of 3,200 tokens, answers of 830 in 3.5 s.
-	private static final StageLoad LONG_ANSWERS = new StageLoad(103, 3_600, 10);
+	private static final ThroughputModel LONG_ANSWERS = new ThroughputModel(103, 3_600, 10);
 
 	// Prefill takes half again as long, and decode workers are many.
-	private static final StageLoad SLOW_PREFILL = new StageLoad(157, 3_650, 9);
+	private static final ThroughputModel SLOW_PREFILL = new ThroughputModel(157, 3_650, 9);
 
-	private static final StageLoad SHORT_ANSWERS = new StageLoad(400, 200, 10);
+	private static final ThroughputModel SHORT_ANSWERS = new ThroughputModel(400, 200, 10);
 
-	private static int split(int prefill, int decode, StageLoad load) {
-		return StageSplit.prefillWorkers(prefill, decode, load, StageSplit.gain(64));
+	private static int split(int prefill, int decode, ThroughputModel load) {
+		return StagePlanner.prefillWorkers(prefill, decode, load, StagePlanner.gain(64));
 	}
 
 	// Long answers fill the memory of three decode workers while three prefill workers
@@ -40,7 +40,7 @@
 
 	@Test
 	void sharesOutAFleet() {
-		StageLoad load = new StageLoad(157, 3_650, 6);
+		ThroughputModel load = new ThroughputModel(157, 3_650, 6);
 		int p = split(24, 39, load);
 		Assertions.assertThat(p).isBetween(13, 17);
 		Assertions.assertThat(load.perSecond(p, 63 - p)).isGreaterThan(1.2 * load.perSecond(24, 39));
@@ -55,7 +55,7 @@
 	// for decode workers for as long as the change is thought to bring too little.
 	@Test
 	void aLoadThatIsKnownWellIsEnoughForAChangeThatBringsATenth() {
-		StageLoad load = new StageLoad(157, 3_400, 6.5);
+		ThroughputModel load = new ThroughputModel(157, 3_400, 6.5);
 		int p = split(13, 23, load);
 		Assertions.assertThat(p).isBetween(9, 11);
 		Assertions.assertThat(load.perSecond(p, 36 - p)).isGreaterThan(1.1 * load.perSecond(13, 23));
@@ -66,10 +66,10 @@
 	// well bring nothing.
 	@Test
 	void fewRequestsAreEnoughForAChangeThatBringsMuch() {
-		StageLoad quickPrefill = new StageLoad(94, 3_500, 8);
-		Assertions.assertThat(StageSplit.prefillWorkers(3, 3, quickPrefill, StageSplit.gain(3))).isEqualTo(1);
-		Assertions.assertThat(StageSplit.prefillWorkers(3, 3, LONG_ANSWERS, StageSplit.gain(3))).isEqualTo(3);
-		Assertions.assertThat(StageSplit.prefillWorkers(3, 3, LONG_ANSWERS, StageSplit.gain(6))).isEqualTo(2);
+		ThroughputModel quickPrefill = new ThroughputModel(94, 3_500, 8);
+		Assertions.assertThat(StagePlanner.prefillWorkers(3, 3, quickPrefill, StagePlanner.gain(3))).isEqualTo(1);
+		Assertions.assertThat(StagePlanner.prefillWorkers(3, 3, LONG_ANSWERS, StagePlanner.gain(3))).isEqualTo(3);
+		Assertions.assertThat(StagePlanner.prefillWorkers(3, 3, LONG_ANSWERS, StagePlanner.gain(6))).isEqualTo(2);
 	}
 
 	@Property(tries = 2_000, seed = "20")
@@ -78,12 +78,12 @@
 			@ForAll @DoubleRange(min = 1, max = 3_000) double prefillMs,
 			@ForAll @DoubleRange(min = 50, max = 60_000) double decodeMs,
 			@ForAll @DoubleRange(min = 0.5, max = 64) double places) {
-		StageLoad load = new StageLoad(prefillMs, decodeMs, places);
+		ThroughputModel load = new ThroughputModel(prefillMs, decodeMs, places);
 		int p = split(prefill, decode, load);
 		Assertions.assertThat(p).isBetween(1, prefill + decode - 1);
 		if (p != prefill) {
 			Assertions.assertThat(load.perSecond(p, prefill + decode - p))
-				.isGreaterThanOrEqualTo((1 + StageSplit.gain(64)) * load.perSecond(prefill, decode) * 0.999);
+				.isGreaterThanOrEqualTo((1 + StagePlanner.gain(64)) * load.perSecond(prefill, decode) * 0.999);
 		}
 	}
 
@@ -94,7 +94,7 @@
 			@ForAll @DoubleRange(min = 10, max = 2_000) double prefillMs,
 			@ForAll @DoubleRange(min = 50, max = 60_000) double decodeMs,
 			@ForAll @DoubleRange(min = 1, max = 64) double places) {
-		StageLoad load = new StageLoad(prefillMs, decodeMs, places);
+		ThroughputModel load = new ThroughputModel(prefillMs, decodeMs, places);
 		int all = prefill + decode;
 		int first = split(prefill, decode, load);
 		int second = split(first, all - first, load);
--- a/src/test/java/io/shallotspur/stage/StageKeeperTests.java
+++ b/src/test/java/io/shallotspur/stage/StageRebalancerTests.java
@@ -36,10 +36,10 @@
 import io.shallotspur.route.UpstreamSpec;
 
 /**
- * Tests of {@link StageKeeper} and {@link StageSwitch}: three workers that prefill and
+ * Tests of {@link StageRebalancer} and {@link StageChangeTask}: three workers that prefill and
  * three that decode, of which one too many prefills.
  */
-class StageKeeperTests {
+class StageRebalancerTests {
 
 	private static final String SELF = "vms/me";
 
@@ -70,7 +70,7 @@
 		VmRegistration registration = new VmRegistration(this.registry, self, this.timer);
 		Leadership duty = new Leadership(this.registry, registration, this.gateway.entryVms(), SELF, 3_000,
 				this.timer::now);
-		StageKeeper keeper = new StageKeeper("vm-1", this.gateway, duty, this.port, this.timer, this.timer::now,
+		StageRebalancer keeper = new StageRebalancer("vm-1", this.gateway, duty, this.port, this.timer, this.timer::now,
 				BOUNDS.propagationMs());
 		this.registry.leader = new RegistryChange.LeaderElected(SELF, new StorePosition(0, FENCE));
 		this.registry.listings.add(new RegistryUpdate(new StorePosition(0, 50), listing()));
@@ -114,7 +114,7 @@
 		StageOrder o = this.port.orders.get(0);
 		Assertions.assertThat(o.stage()).isEqualTo(WorkerStage.DECODE);
 		Assertions.assertThat(o.worker().stage()).isEqualTo(WorkerStage.PREFILL);
-		Assertions.assertThat(o.fence()).isEqualTo(FENCE);
+		Assertions.assertThat(o.fencingToken()).isEqualTo(FENCE);
 		Assertions.assertThat(o.holder()).isEqualTo("vm-1");
 		Assertions.assertThat(this.registry.announcedStages).isEqualTo(Map.of(o.worker().id(), WorkerStage.DECODE));
 		this.port.done(o.worker().id(), WorkerStage.DECODE);
@@ -211,7 +211,7 @@
 		this.port.losesOrders = true;
 		this.timer.advance(30_000);
 		Assertions.assertThat(this.port.orders.size()).isBetween(2, 9);
-		Assertions.assertThat(this.port.orders).allMatch((o) -> o.expectedOrders() == 0);
+		Assertions.assertThat(this.port.orders).allMatch((o) -> o.expectedOrderCount() == 0);
 	}
 
 	// An order without effect: the worker prefills as before, and if it stayed announced
