--- a/src/main/java/io/shallotspur/stage/OrderResult.java
+++ b/src/main/java/io/shallotspur/stage/OrderResult.java
@@ -1,32 +1,32 @@
 package io.shallotspur.stage;
 
 /**
- * How a worker took an order.
+ * A worker's response to an order.
  */
 public enum OrderResult {
 
 	/**
-	 * It is being carried out, or is in force.
+	 * The order is in progress or has taken effect.
 	 */
 	ACCEPTED,
 
 	/**
-	 * Another order is being carried out, or was accepted meanwhile.
+	 * Another order is in progress or was accepted in the meantime.
 	 */
 	CONFLICT,
 
 	/**
-	 * The worker has seen a higher fencing number.
+	 * The worker has already seen a higher fencing token.
 	 */
 	FENCED,
 
 	/**
-	 * Another incarnation has the worker's address.
+	 * The worker's address now belongs to a different incarnation.
 	 */
 	REPLACED,
 
 	/**
-	 * The worker does not take such orders.
+	 * The worker does not support such orders.
 	 */
 	REFUSED
 
--- a/src/main/java/io/shallotspur/stage/StageChangeTask.java
+++ b/src/main/java/io/shallotspur/stage/StageChangeTask.java
@@ -11,30 +11,33 @@
 import io.shallotspur.registry.Leadership;
 
 /**
- * Has one worker change over. Not thread-safe; confined to the gateway's thread.
+ * Changes the stage of one worker. Not thread-safe; confined to the gateway's thread.
  * <p>
- * Announces the change to all VMs, asks the worker how many orders it has accepted, makes
- * sure of the duty, gives the order and reads back until it is in force. An order whose
- * answer was lost is given again only while the worker has still accepted as many as
- * before, so that it is accepted once, however late the first one arrives.
+ * Announces the change to all VMs, reads the worker's number of accepted orders, confirms
+ * the leadership with the store, sends the order and polls the worker's report until the
+ * order has taken effect. An order whose response was lost is resent only while the
+ * worker's number of accepted orders is unchanged. It is therefore accepted at most once,
+ * however late the first copy arrives.
  * <p>
- * Invariant: {@code then} hears once, when it has ended, whether the change is in force.
+ * Invariant: {@code onEnd} is called exactly once, at the end, with whether the change
+ * has taken effect.
  */
 final class StageChangeTask {
 
-	// A worker is back some seconds after its last request; asking is billed, ms.
+	// In ms. A worker needs some seconds after its last request; each call is billed.
 	private static final long POLL_MS = 1_500;
 
-	// Requests of up to 14 s run to their end before a worker changes over, ms.
-	private static final long LIMIT_MS = 40_000;
+	// In ms. Running requests of up to 14 s are completed before the stage changes.
+	private static final long TIMEOUT_MS = 40_000;
 
-	private static final int MOST_ORDERS = 3;
+	private static final int MAX_ORDERS = 3;
 
-	// Reports in a row that do not come. A worker that crashed keeps nothing of an order,
-	// and while it is waited for no other one changes over.
-	private static final int MOST_SILENT = 2;
+	// Consecutive report calls that fail before the worker counts as lost. A crashed
+	// worker forgets its order, and waiting for it keeps another worker from taking over
+	// the change.
+	private static final int MAX_FAILED_REPORTS = 2;
 
-	private final Leadership duty;
+	private final Leadership leadership;
 
 	private final StagePort port;
 
@@ -42,155 +45,156 @@
 
 	private final LongSupplier clock;
 
-	private final String vm;
+	private final String vmName;
 
 	private final WorkerInfo worker;
 
-	private final WorkerStage stage;
+	private final WorkerStage targetStage;
 
-	private final long heardByAllMs;
+	private final long propagationMs;
 
-	private final Consumer<Boolean> then;
+	private final Consumer<Boolean> onEnd;
 
-	private long begunAt;
+	private long changeStartedAt;
 
-	private int orders;
+	private int orderCount;
 
-	private int silent;
+	private int failedReports;
 
-	private long startedAt;
+	private long workerStartedAt;
 
-	StageChangeTask(Leadership duty, StagePort port, GatewayTimer timer, LongSupplier clock, String vm, WorkerInfo worker,
-			WorkerStage stage, long heardByAllMs, Consumer<Boolean> then) {
-		this.duty = duty;
+	StageChangeTask(Leadership leadership, StagePort port, GatewayTimer timer, LongSupplier clock, String vmName,
+			WorkerInfo worker, WorkerStage targetStage, long propagationMs, Consumer<Boolean> onEnd) {
+		this.leadership = leadership;
 		this.port = port;
 		this.timer = timer;
 		this.clock = clock;
-		this.vm = vm;
+		this.vmName = vmName;
 		this.worker = worker;
-		this.startedAt = worker.startedAt();
-		this.stage = stage;
-		this.heardByAllMs = heardByAllMs;
-		this.then = then;
+		this.workerStartedAt = worker.startedAt();
+		this.targetStage = targetStage;
+		this.propagationMs = propagationMs;
+		this.onEnd = onEnd;
 	}
 
 	WorkerInfo worker() {
 		return this.worker;
 	}
 
-	WorkerStage stage() {
-		return this.stage;
+	WorkerStage targetStage() {
+		return this.targetStage;
 	}
 
 	void start(long now) {
-		this.begunAt = now;
-		this.duty.announceStageChange(this.worker.id(), this.stage)
-			.subscribe((ok) -> announced(ok), (ex) -> fail("not announced: " + ex));
+		this.changeStartedAt = now;
+		this.leadership.announceStageChange(this.worker.id(), this.targetStage)
+			.subscribe((announced) -> onAnnounced(announced), (ex) -> fail("announcement failed: " + ex));
 	}
 
-	private void announced(boolean ok) {
-		if (ok) {
-			this.timer.schedule(this.heardByAllMs, this::look);
+	private void onAnnounced(boolean announced) {
+		if (announced) {
+			this.timer.schedule(this.propagationMs, this::pollReport);
 		}
 		else {
-			fail("duty lost");
+			fail("leadership lost");
 		}
 	}
 
-	private void look() {
-		if (this.clock.getAsLong() - this.begunAt > LIMIT_MS) {
-			fail("not in force in time");
+	private void pollReport() {
+		if (this.clock.getAsLong() - this.changeStartedAt > TIMEOUT_MS) {
+			fail("timed out");
 			return;
 		}
 		this.port.report(this.worker).subscribe((r) -> {
-			this.silent = 0;
-			judge(r);
+			this.failedReports = 0;
+			onReport(r);
 		}, (ex) -> {
-			Logger.info("[stage] no report worker={} seen=\"{}\"", this.worker.id(), ex.toString());
-			if (++this.silent >= MOST_SILENT) {
+			Logger.info("[stage] report failed worker={} seen=\"{}\"", this.worker.id(), ex.toString());
+			if (++this.failedReports >= MAX_FAILED_REPORTS) {
 				fail("worker lost");
 			}
 			else {
-				lookLater();
+				schedulePoll();
 			}
 		});
 	}
 
-	private void lookLater() {
-		this.timer.schedule(POLL_MS, this::look);
+	private void schedulePoll() {
+		this.timer.schedule(POLL_MS, this::pollReport);
 	}
 
-	// The count of orders begins anew with a worker's start, so that an order for its
-	// former life could be taken for one of this life.
-	private boolean startedAgain(StageReport r) {
-		long before = this.startedAt;
-		this.startedAt = Math.max(before, r.startedAt());
-		return before > 0 && r.startedAt() > before;
+	// A restart resets the worker's number of accepted orders, so a delayed order for the
+	// previous incarnation could be accepted by the new one.
+	private boolean hasRestarted(StageReport r) {
+		long previous = this.workerStartedAt;
+		this.workerStartedAt = Math.max(previous, r.startedAt());
+		return previous > 0 && r.startedAt() > previous;
 	}
 
-	private void judge(StageReport r) {
-		if (startedAgain(r)) {
-			fail("worker started again");
+	private void onReport(StageReport r) {
+		if (hasRestarted(r)) {
+			fail("worker restarted");
 		}
-		else if (r.stage() == this.stage && !r.orderInProgress()) {
-			end("in force", true);
+		else if (r.stage() == this.targetStage && !r.orderInProgress()) {
+			finish("completed", true);
 		}
 		else if (r.orderInProgress()) {
-			lookLater();
+			schedulePoll();
 		}
-		else if (this.orders >= MOST_ORDERS) {
-			fail("orders without effect");
+		else if (this.orderCount >= MAX_ORDERS) {
+			fail("orders had no effect");
 		}
 		else {
-			confirm(r.acceptedOrders());
+			confirmLeadership(r.acceptedOrders());
 		}
 	}
 
-	private void confirm(long accepted) {
-		this.duty.confirm().subscribe((mine) -> {
-			if (mine && this.duty.mayAct(this.clock.getAsLong())) {
-				order(accepted);
+	private void confirmLeadership(long acceptedOrders) {
+		this.leadership.confirm().subscribe((confirmed) -> {
+			if (confirmed && this.leadership.mayAct(this.clock.getAsLong())) {
+				sendOrder(acceptedOrders);
 			}
 			else {
-				fail("duty lost");
+				fail("leadership lost");
 			}
 		}, (ex) -> {
-			Logger.info("[stage] duty not confirmed worker={} seen=\"{}\"", this.worker.id(), ex.toString());
-			lookLater();
+			Logger.info("[stage] leadership check failed worker={} seen=\"{}\"", this.worker.id(), ex.toString());
+			schedulePoll();
 		});
 	}
 
-	private void order(long accepted) {
-		this.orders++;
-		StageOrder o = new StageOrder(this.worker, this.stage, this.vm, this.duty.fencingToken(), accepted);
-		Logger.info("[stage] order worker={} stage={} fence={} expected={}", this.worker.id(), this.stage, o.fencingToken(),
-				accepted);
-		this.port.order(o).subscribe(this::taken, (ex) -> {
-			Logger.info("[stage] order without answer worker={} seen=\"{}\"", this.worker.id(), ex.toString());
-			lookLater();
+	private void sendOrder(long acceptedOrders) {
+		this.orderCount++;
+		StageOrder o = new StageOrder(this.worker, this.targetStage, this.vmName, this.leadership.fencingToken(),
+				acceptedOrders);
+		Logger.info("[stage] order worker={} stage={} fence={} expected={}", this.worker.id(), this.targetStage,
+				o.fencingToken(), acceptedOrders);
+		this.port.order(o).subscribe(this::onOrderResult, (ex) -> {
+			Logger.info("[stage] no response to order worker={} seen=\"{}\"", this.worker.id(), ex.toString());
+			schedulePoll();
 		});
 	}
 
-	private void taken(OrderResult r) {
+	private void onOrderResult(OrderResult r) {
 		switch (r) {
-			case ACCEPTED, CONFLICT -> lookLater();
-			case FENCED, REPLACED, REFUSED -> fail("order " + r);
+			case ACCEPTED, CONFLICT -> schedulePoll();
+			case FENCED, REPLACED, REFUSED -> fail("order rejected: " + r);
 		}
 	}
 
-	// No VM uses a worker that is announced to change over and has not. One that stays as
-	// it is has to be used again. An order that comes into force late after all is seen
-	// in the registry.
-	private void fail(String why) {
-		this.duty.withdrawStageChange(this.worker.id()).subscribe((v) -> {
-		}, (ex) -> Logger.info("[stage] not withdrawn worker={} seen=\"{}\"", this.worker.id(), ex.toString()));
-		end(why, false);
+	// VMs do not use a worker while its change is announced, so the announcement is
+	// withdrawn to make the worker available again. If the order takes effect later, VMs
+	// learn the new stage from the registry.
+	private void fail(String reason) {
+		this.leadership.withdrawStageChange(this.worker.id()).subscribe((v) -> {
+		}, (ex) -> Logger.info("[stage] withdrawal failed worker={} seen=\"{}\"", this.worker.id(), ex.toString()));
+		finish(reason, false);
 	}
 
-	private void end(String outcome, boolean inForce) {
-		Logger.info("[stage] worker={} stage={} ended=\"{}\" orders={}", this.worker.id(), this.stage, outcome,
-				this.orders);
-		this.then.accept(inForce);
+	private void finish(String outcome, boolean succeeded) {
+		Logger.info("[stage] worker={} stage={} ended=\"{}\" orders={}", this.worker.id(), this.targetStage, outcome,
+				this.orderCount);
+		this.onEnd.accept(succeeded);
 	}
 
 }
--- a/src/main/java/io/shallotspur/stage/StageOrder.java
+++ b/src/main/java/io/shallotspur/stage/StageOrder.java
@@ -4,15 +4,17 @@
 import io.shallotspur.gateway.WorkerStage;
 
 /**
- * An order to a worker to change over. Immutable.
+ * An order to a worker to change its stage. Immutable.
  *
- * @param worker the worker; a different one at its address must not take the order
- * @param stage what it is to do
- * @param holder the VM that gives the order
- * @param fencingToken the fencing number of the VM's duty
- * @param expectedOrderCount the orders that the worker has accepted; with a different number
- * it refuses, so that an order which arrives late changes nothing
+ * @param worker the worker; a different incarnation at its address must not accept the
+ * order
+ * @param stage the stage to change to
+ * @param holder the name of the VM that sends the order, which is the leader
+ * @param fencingToken the fencing token of that VM's leadership
+ * @param expectedOrderCount the number of orders that the worker has accepted so far; it
+ * rejects an order with a different number, so a delayed duplicate has no effect
  */
-public record StageOrder(WorkerInfo worker, WorkerStage stage, String holder, long fencingToken, long expectedOrderCount) {
+public record StageOrder(WorkerInfo worker, WorkerStage stage, String holder, long fencingToken,
+		long expectedOrderCount) {
 
 }
--- a/src/main/java/io/shallotspur/stage/StagePlanner.java
+++ b/src/main/java/io/shallotspur/stage/StagePlanner.java
@@ -1,65 +1,68 @@
 package io.shallotspur.stage;
 
 /**
- * Decides how many workers of a model upstream prefill. Stateless.
+ * Plans how many workers of a model upstream run the prefill stage. Stateless.
  * <p>
- * Answers a lasting load of long answers: they fill the memory of the decode workers and
- * wait there, while prefill workers stand idle. The platform starts a fixed part of the
- * workers as prefill workers, whatever the traffic.
+ * The platform starts a fixed fraction of the workers as prefill workers, regardless of
+ * the traffic. Under a sustained load of long responses, requests then fill the memory of
+ * the decode workers and wait there while prefill workers are idle.
  */
 final class StagePlanner {
 
-	// What a change has to bring beside its cost, as a part of what the workers bear. A
-	// worker is away for seconds while it changes over; it comes from the stage that has
-	// work to spare, so little is lost meanwhile.
-	private static final double LEAST_GAIN = 0.05;
+	// Minimum throughput gain of a new split, as a fraction. A worker is unavailable for
+	// seconds while it changes stage; it comes from the stage with spare capacity, so
+	// little throughput is lost in that time.
+	private static final double MIN_GAIN = 0.05;
 
-	// Lengths of prompts and answers differ from request to request by about half of
-	// their mean, so the mean of n requests is wrong by half / sqrt(n).
-	private static final double VARIATION = 0.5;
+	// Lengths of prompts and responses deviate by about half of their mean, so the
+	// relative error of the mean of n requests is 0.5 / sqrt(n).
+	private static final double LENGTH_VARIATION = 0.5;
 
-	// A worker that changes over is away for seconds and may be needed back; each one has
-	// to bring at least this part of what a worker bears on the average.
-	private static final double WORTH_MOVING = 0.5;
+	// A worker is unavailable for seconds while it changes stage and may be needed back
+	// later, so costPerMove move must gain at least this fraction of the mean throughput
+	// per
+	// worker.
+	private static final double MIN_GAIN_PER_MOVE = 0.5;
 
 	private StagePlanner() {
 	}
 
 	/**
-	 * Returns what a change has to bring. The first few requests are enough for one that
-	 * brings much, as long answers on three idle prefill workers do; a change that brings
-	 * little waits until the load is known well.
-	 * @param samples requests that the load was seen at; at least 1
-	 * @return by what part the change has to raise what the workers bear
+	 * Returns the throughput gain that a new split must reach. A large gain, such as that
+	 * for long responses with three idle prefill workers, is accepted after the first few
+	 * requests; a small gain is accepted only once the load is known precisely.
+	 * @param samples number of requests that the load estimate is based on; at least 1
+	 * @return the required gain, as a fraction of the current throughput
 	 */
-	static double gain(int samples) {
-		return LEAST_GAIN + VARIATION / Math.sqrt(samples);
+	static double requiredGain(int samples) {
+		return MIN_GAIN + LENGTH_VARIATION / Math.sqrt(samples);
 	}
 
 	/**
-	 * Decides.
-	 * @param prefill prefill workers now
-	 * @param decode decode workers now
-	 * @param load what a request costs
-	 * @param gain by what part a change has to raise what the workers bear
-	 * @return how many are to prefill: the present number unless another one bears
-	 * clearly more; at least one, and one is left to decode
+	 * Plans the number of prefill workers.
+	 * @param prefill the current number of prefill workers
+	 * @param decode the current number of decode workers
+	 * @param throughput the throughput model of the upstream
+	 * @param requiredGain the throughput gain that a new split must reach, as a fraction
+	 * @return the planned number of prefill workers: the current number unless another
+	 * split reaches the required gain; at least one worker remains in costPerMove stage
 	 */
-	static int prefillWorkers(int prefill, int decode, ThroughputModel load, double gain) {
-		int best = best(prefill, decode, load);
-		boolean enough = load.perSecond(best, prefill + decode - best) >= (1 + gain) * load.perSecond(prefill, decode);
-		return enough ? best : prefill;
+	static int prefillWorkers(int prefill, int decode, ThroughputModel throughput, double requiredGain) {
+		int best = bestPrefillWorkers(prefill, decode, throughput);
+		boolean reachesGain = throughput.requestsPerSecond(best, prefill + decode - best) >= (1 + requiredGain)
+				* throughput.requestsPerSecond(prefill, decode);
+		return reachesGain ? best : prefill;
 	}
 
-	private static int best(int prefill, int decode, ThroughputModel load) {
-		int all = prefill + decode;
-		double most = load.perSecond(prefill, decode);
-		double each = WORTH_MOVING * most / all;
+	private static int bestPrefillWorkers(int prefill, int decode, ThroughputModel throughput) {
+		int workers = prefill + decode;
+		double bestValue = throughput.requestsPerSecond(prefill, decode);
+		double costPerMove = MIN_GAIN_PER_MOVE * bestValue / workers;
 		int best = prefill;
-		for (int p = 1; p < all; p++) {
-			double value = load.perSecond(p, all - p) - each * Math.abs(p - prefill);
-			if (value > most) {
-				most = value;
+		for (int p = 1; p < workers; p++) {
+			double value = throughput.requestsPerSecond(p, workers - p) - costPerMove * Math.abs(p - prefill);
+			if (value > bestValue) {
+				bestValue = value;
 				best = p;
 			}
 		}
--- a/src/main/java/io/shallotspur/stage/StagePort.java
+++ b/src/main/java/io/shallotspur/stage/StagePort.java
@@ -5,23 +5,23 @@
 import io.shallotspur.gateway.WorkerInfo;
 
 /**
- * Calls to workers about their stage. Answers come on the gateway's thread; calls that
- * are not answered fail with {@link io.shallotspur.exc.EngineLostException}.
+ * Calls to workers about their stage. Responses arrive on the gateway's thread; calls
+ * without a response fail with {@link io.shallotspur.exc.EngineLostException}.
  */
 public interface StagePort {
 
 	/**
-	 * Asks what a worker does.
+	 * Requests a worker's stage report.
 	 * @param worker the worker
-	 * @return its report
+	 * @return the report
 	 */
 	Mono<StageReport> report(WorkerInfo worker);
 
 	/**
-	 * Gives an order. One without an answer may have been accepted, or be carried out
-	 * later.
+	 * Sends an order. An order without a response may have been accepted, or may still be
+	 * accepted later.
 	 * @param order the order
-	 * @return how it was taken
+	 * @return the worker's response
 	 */
 	Mono<OrderResult> order(StageOrder order);
 
--- a/src/main/java/io/shallotspur/stage/StageRebalancer.java
+++ b/src/main/java/io/shallotspur/stage/StageRebalancer.java
@@ -20,39 +20,40 @@
 import io.shallotspur.route.UpstreamSpec;
 
 /**
- * Keeps the workers of each model upstream shared out between prefill and decode as the
- * load needs it, while this VM holds the duty. Not thread-safe; confined to the gateway's
+ * Periodically adapts the number of prefill and decode workers of each model upstream to
+ * the load, while this VM is the leader. Not thread-safe; confined to the gateway's
  * thread.
  */
 public final class StageRebalancer {
 
 	private static final long TICK_MS = 1_000;
 
-	// Fewer requests may all be of one odd kind.
-	private static final int LEAST_SAMPLES = 3;
+	// Fewer requests may all be atypical.
+	private static final int MIN_SAMPLES = 3;
 
-	// After a change the load is watched for so long before one that goes the other way,
-	// ms: the time of a change over and of a few answers. Otherwise two workers could
-	// change places again and again.
-	private static final long SETTLE_MS = 10_000;
+	// In ms. Minimum time between a change and one in the opposite direction: the time
+	// that a stage change and a few responses take. Without it, workers could oscillate
+	// between the stages.
+	private static final long REVERSAL_DELAY_MS = 10_000;
 
-	// After a change that failed, ms: another worker may do it, and one that refuses is
-	// not asked all the time.
-	private static final long RETRY_MS = 3_000;
+	// In ms. Delay after a failed change: another worker may succeed, and a worker that
+	// refuses must not receive orders continuously.
+	private static final long RETRY_DELAY_MS = 3_000;
 
-	// Workers that crash are back within some seconds, ms. Shared out again at once, the
-	// others would be short in the other stage when those return.
-	private static final long LASTING_MS = 5_000;
+	// In ms. How long the number of workers must be unchanged before a rebalance. Crashed
+	// workers return within seconds; an immediate rebalance would leave the other stage
+	// short of workers once they are back.
+	private static final long STABLE_COUNT_MS = 5_000;
 
-	// Decode workers that leave at a time, as a part of them: prompts can wait or
-	// be prefilled elsewhere, answers cannot.
-	private static final double MOST_LEAVING = 0.125;
+	// Maximum fraction of the decode workers that leave the stage at once: prompts can
+	// wait or be prefilled elsewhere, responses cannot.
+	private static final double MAX_LEAVING_FRACTION = 0.125;
 
-	private final String vm;
+	private final String vmName;
 
 	private final Gateway gateway;
 
-	private final Leadership duty;
+	private final Leadership leadership;
 
 	private final StagePort port;
 
@@ -60,48 +61,48 @@
 
 	private final LongSupplier clock;
 
-	private final long heardByAllMs;
+	private final long propagationMs;
 
-	private final Map<String, StageChangeTask> running = new HashMap<>();
+	private final Map<String, StageChangeTask> activeChanges = new HashMap<>();
 
-	private final Map<String, Shares> shares = new HashMap<>();
+	private final Map<String, UpstreamState> upstreamStates = new HashMap<>();
 
-	// Workers that did not change over, and when that was known.
+	// When the last stage change of a worker failed, by worker id.
 	private final Map<String, Long> failedAt = new HashMap<>();
 
 	private boolean stopped;
 
 	/**
-	 * Creates a keeper that does nothing yet.
-	 * @param vm this VM's name
-	 * @param gateway knows workers and load
-	 * @param duty the duty
-	 * @param port calls to workers
+	 * Creates a rebalancer; {@link #start()} activates it.
+	 * @param vmName the name of this VM
+	 * @param gateway the gateway, which provides the workers and the load
+	 * @param leadership the leadership that permits orders to workers
+	 * @param port the port for calls to workers
 	 * @param timer the gateway's timer
-	 * @param clock the present time in milliseconds
-	 * @param heardByAllMs how long after an announcement all VMs have heard of it, in
-	 * milliseconds; no order is given before that
+	 * @param clock the current time in milliseconds
+	 * @param propagationMs how long an announcement takes to reach all VMs, in
+	 * milliseconds; no order is sent before that
 	 */
-	public StageRebalancer(String vm, Gateway gateway, Leadership duty, StagePort port, GatewayTimer timer,
-			LongSupplier clock, long heardByAllMs) {
-		this.vm = vm;
+	public StageRebalancer(String vmName, Gateway gateway, Leadership leadership, StagePort port, GatewayTimer timer,
+			LongSupplier clock, long propagationMs) {
+		this.vmName = vmName;
 		this.gateway = gateway;
-		this.duty = duty;
+		this.leadership = leadership;
 		this.port = port;
 		this.timer = timer;
 		this.clock = clock;
-		this.heardByAllMs = heardByAllMs;
+		this.propagationMs = propagationMs;
 	}
 
 	/**
-	 * Begins to look after the upstreams.
+	 * Starts the periodic check of the upstreams.
 	 */
 	public void start() {
 		this.timer.schedule(TICK_MS, this::tick);
 	}
 
 	/**
-	 * Stops: no further order is given.
+	 * Stops the periodic check. Changes that are in progress continue.
 	 */
 	public void stop() {
 		this.stopped = true;
@@ -112,26 +113,27 @@
 			return;
 		}
 		long now = this.clock.getAsLong();
-		this.gateway.routeTable().ifPresent((t) -> look(t, now));
+		this.gateway.routeTable().ifPresent((t) -> checkUpstreams(t, now));
 		this.timer.schedule(TICK_MS, this::tick);
 	}
 
-	private void look(RouteTable t, long now) {
+	private void checkUpstreams(RouteTable t, long now) {
 		List<UpstreamSpec> l = t.upstreams().stream().filter((u) -> u.engine() != null).toList();
 		if (l.isEmpty()) {
 			return;
 		}
-		this.duty.claimIfVacant(now);
-		l.forEach((u) -> look(u.name(), u.engine(), now));
+		this.leadership.claimIfVacant(now);
+		l.forEach((u) -> checkUpstream(u.name(), u.engine(), now));
 	}
 
-	private void look(String upstream, EngineSpec engine, long now) {
+	private void checkUpstream(String upstream, EngineSpec engine, long now) {
 		List<WorkerInfo> prefill = new ArrayList<>();
 		List<WorkerInfo> decode = new ArrayList<>();
 		for (WorkerInfo w : this.gateway.roster().activeWorkers(upstream, now)) {
-			// Announced or not, one that is about to change over counts as changed.
-			StageChangeTask under = this.running.get(w.id());
-			WorkerStage stage = (under != null) ? under.stage() : w.stage();
+			// A worker with a change in progress counts towards its target stage, whether
+			// or not the change is announced yet.
+			StageChangeTask change = this.activeChanges.get(w.id());
+			WorkerStage stage = (change != null) ? change.targetStage() : w.stage();
 			if (stage == WorkerStage.PREFILL) {
 				prefill.add(w);
 			}
@@ -139,131 +141,133 @@
 				decode.add(w);
 			}
 		}
-		Shares s = this.shares.computeIfAbsent(upstream, (u) -> new Shares());
-		s.counted(prefill.size() + decode.size(), now);
-		if (this.duty.mayAct(now) && s.lasting(now) && !prefill.isEmpty() && !decode.isEmpty()) {
+		UpstreamState s = this.upstreamStates.computeIfAbsent(upstream, (u) -> new UpstreamState());
+		s.updateWorkerCount(prefill.size() + decode.size(), now);
+		if (this.leadership.mayAct(now) && s.isWorkerCountStable(now) && !prefill.isEmpty() && !decode.isEmpty()) {
 			this.gateway.engineTimes(upstream)
 				.statistics()
-				.filter((f) -> f.samples() >= LEAST_SAMPLES)
-				.map((f) -> new Seen(f.samples(), ThroughputModel.of(f, engine)))
-				.ifPresent((x) -> share(s, x, prefill, decode, now));
+				.filter((statistics) -> statistics.samples() >= MIN_SAMPLES)
+				.map((statistics) -> new ObservedLoad(statistics.samples(), ThroughputModel.of(statistics, engine)))
+				.ifPresent((observed) -> rebalance(s, observed, prefill, decode, now));
 		}
 	}
 
-	private void share(Shares s, Seen seen, List<WorkerInfo> prefill, List<WorkerInfo> decode, long now) {
-		int best = StagePlanner.prefillWorkers(prefill.size(), decode.size(), seen.load(),
-				StagePlanner.gain(seen.samples()));
+	private void rebalance(UpstreamState s, ObservedLoad observed, List<WorkerInfo> prefill, List<WorkerInfo> decode,
+			long now) {
+		int best = StagePlanner.prefillWorkers(prefill.size(), decode.size(), observed.throughput(),
+				StagePlanner.requiredGain(observed.samples()));
 		WorkerStage stage = (best < prefill.size()) ? WorkerStage.DECODE : WorkerStage.PREFILL;
-		if (best == prefill.size() || !s.maySendTo(stage, now)) {
+		if (best == prefill.size() || !s.mayMoveTo(stage, now)) {
 			return;
 		}
 		int n = (stage == WorkerStage.DECODE) ? prefill.size() - best
-				: Math.min(best - prefill.size(), roomToLeave(decode));
+				: Math.min(best - prefill.size(), allowedDecodeDepartures(decode));
 		if (n <= 0) {
 			return;
 		}
 		Logger.info("[stage] prefill={} decode={} wanted-prefill={} seen={}", prefill.size(), decode.size(), best,
-				seen);
-		s.sent(stage, now);
-		change((stage == WorkerStage.DECODE) ? prefill : decode, (stage == WorkerStage.DECODE) ? decode : prefill, n,
-				stage, now);
+				observed);
+		s.onChangesStarted(stage, now);
+		startChanges((stage == WorkerStage.DECODE) ? prefill : decode, (stage == WorkerStage.DECODE) ? decode : prefill,
+				n, stage, now);
 	}
 
-	private int roomToLeave(List<WorkerInfo> decode) {
+	private int allowedDecodeDepartures(List<WorkerInfo> decode) {
 		String upstream = decode.get(0).upstream();
-		long leaving = this.running.values()
+		long leaving = this.activeChanges.values()
 			.stream()
-			.filter((s) -> s.stage() == WorkerStage.PREFILL && s.worker().upstream().equals(upstream))
+			.filter((task) -> task.targetStage() == WorkerStage.PREFILL && task.worker().upstream().equals(upstream))
 			.count();
-		return (int) (Math.max(1, (int) (MOST_LEAVING * decode.size())) - leaving);
+		return (int) (Math.max(1, (int) (MAX_LEAVING_FRACTION * decode.size())) - leaving);
 	}
 
-	// Takes workers from the halls that have most of their stage, so that each keeps some
-	// and KV caches need not cross halls.
-	private void change(List<WorkerInfo> from, List<WorkerInfo> to, int n, WorkerStage stage, long now) {
-		List<WorkerInfo> left = new ArrayList<>(from);
+	// Prefers workers of the halls with the most surplus in the source stage, so that
+	// each
+	// hall keeps workers of both stages and KV caches are not transferred between halls.
+	private void startChanges(List<WorkerInfo> from, List<WorkerInfo> to, int n, WorkerStage stage, long now) {
+		List<WorkerInfo> remaining = new ArrayList<>(from);
 		for (int i = 0; i < n; i++) {
-			Comparator<WorkerInfo> order = Comparator.comparing((WorkerInfo w) -> failedLately(w, now))
-				.thenComparingLong((WorkerInfo w) -> inHall(to, w.hall()) - inHall(left, w.hall()))
+			Comparator<WorkerInfo> order = Comparator.comparing((WorkerInfo w) -> failedRecently(w, now))
+				.thenComparingLong((WorkerInfo w) -> countInHall(to, w.hall()) - countInHall(remaining, w.hall()))
 				.thenComparing(WorkerInfo::id);
-			WorkerInfo w = left.stream().min(order).orElseThrow();
-			left.remove(w);
+			WorkerInfo w = remaining.stream().min(order).orElseThrow();
+			remaining.remove(w);
 			to.add(w);
-			begin(w, stage, now);
+			startChange(w, stage, now);
 		}
 	}
 
-	private boolean failedLately(WorkerInfo w, long now) {
-		return now - this.failedAt.getOrDefault(w.id(), Long.MIN_VALUE / 2) < SETTLE_MS;
+	private boolean failedRecently(WorkerInfo w, long now) {
+		return now - this.failedAt.getOrDefault(w.id(), Long.MIN_VALUE / 2) < REVERSAL_DELAY_MS;
 	}
 
-	private static long inHall(List<WorkerInfo> l, String hall) {
+	private static long countInHall(List<WorkerInfo> l, String hall) {
 		return l.stream().filter((w) -> w.hall().equals(hall)).count();
 	}
 
-	private void begin(WorkerInfo w, WorkerStage stage, long now) {
-		StageChangeTask s = new StageChangeTask(this.duty, this.port, this.timer, this.clock, this.vm, w, stage,
-				this.heardByAllMs, (inForce) -> {
-					this.running.remove(w.id());
-					this.failedAt.values().removeIf((at) -> this.clock.getAsLong() - at >= SETTLE_MS);
-					if (!inForce) {
+	private void startChange(WorkerInfo w, WorkerStage stage, long now) {
+		StageChangeTask task = new StageChangeTask(this.leadership, this.port, this.timer, this.clock, this.vmName, w,
+				stage, this.propagationMs, (succeeded) -> {
+					this.activeChanges.remove(w.id());
+					this.failedAt.values().removeIf((at) -> this.clock.getAsLong() - at >= REVERSAL_DELAY_MS);
+					if (!succeeded) {
 						this.failedAt.put(w.id(), this.clock.getAsLong());
 					}
-					this.shares.get(w.upstream()).ended(inForce, this.clock.getAsLong());
+					this.upstreamStates.get(w.upstream()).onChangeEnded(succeeded, this.clock.getAsLong());
 				});
-		this.running.put(w.id(), s);
-		s.start(now);
+		this.activeChanges.put(w.id(), task);
+		task.start(now);
 	}
 
 	/**
-	 * What a request costs, and how many requests show it.
+	 * The throughput model and the number of requests that it is based on.
 	 */
-	private record Seen(int samples, ThroughputModel load) {
+	private record ObservedLoad(int samples, ThroughputModel throughput) {
 
 	}
 
 	/**
-	 * How the workers of one upstream have been shared out lately. Not thread-safe.
+	 * Recent stage changes of one upstream. Not thread-safe.
 	 */
-	private static final class Shares {
+	private static final class UpstreamState {
 
-		private int workers = -1;
+		private int workerCount = -1;
 
-		private long countedAt = Long.MIN_VALUE / 2;
+		private long workerCountChangedAt = Long.MIN_VALUE / 2;
 
-		private @Nullable WorkerStage sentTo;
+		private @Nullable WorkerStage lastTarget;
 
-		private long sentAt;
+		private long lastChangeAt;
 
-		private boolean failed;
+		private boolean lastChangeFailed;
 
-		void counted(int n, long now) {
-			if (n != this.workers && this.workers >= 0) {
-				this.countedAt = now;
+		void updateWorkerCount(int n, long now) {
+			if (n != this.workerCount && this.workerCount >= 0) {
+				this.workerCountChangedAt = now;
 			}
-			this.workers = n;
+			this.workerCount = n;
 		}
 
-		boolean lasting(long now) {
-			return now - this.countedAt >= LASTING_MS;
+		boolean isWorkerCountStable(long now) {
+			return now - this.workerCountChangedAt >= STABLE_COUNT_MS;
 		}
 
-		boolean maySendTo(WorkerStage stage, long now) {
-			if (this.sentTo == null || this.sentTo == stage) {
-				return !this.failed || now - this.sentAt >= RETRY_MS;
+		boolean mayMoveTo(WorkerStage stage, long now) {
+			if (this.lastTarget == null || this.lastTarget == stage) {
+				return !this.lastChangeFailed || now - this.lastChangeAt >= RETRY_DELAY_MS;
 			}
-			return now - this.sentAt >= SETTLE_MS;
+			return now - this.lastChangeAt >= REVERSAL_DELAY_MS;
 		}
 
-		void sent(WorkerStage stage, long now) {
-			this.sentTo = stage;
-			this.sentAt = now;
-			this.failed = false;
+		void onChangesStarted(WorkerStage stage, long now) {
+			this.lastTarget = stage;
+			this.lastChangeAt = now;
+			this.lastChangeFailed = false;
 		}
 
-		void ended(boolean inForce, long now) {
-			this.sentAt = now;
-			this.failed = !inForce;
+		void onChangeEnded(boolean succeeded, long now) {
+			this.lastChangeAt = now;
+			this.lastChangeFailed = !succeeded;
 		}
 
 	}
--- a/src/main/java/io/shallotspur/stage/StageReport.java
+++ b/src/main/java/io/shallotspur/stage/StageReport.java
@@ -3,12 +3,12 @@
 import io.shallotspur.gateway.WorkerStage;
 
 /**
- * What a worker says of its stage. Immutable.
+ * A worker's report about its stage. Immutable.
  *
- * @param stage what it does
- * @param orderInProgress whether an order is being carried out
- * @param acceptedOrders orders accepted since its start
- * @param startedAt when it started, in Unix milliseconds; 0 if it does not say
+ * @param stage the current stage
+ * @param orderInProgress whether the worker is carrying out an order
+ * @param acceptedOrders number of orders accepted since the worker started
+ * @param startedAt when the worker started, in Unix milliseconds; 0 if not reported
  */
 public record StageReport(WorkerStage stage, boolean orderInProgress, long acceptedOrders, long startedAt) {
 
--- a/src/main/java/io/shallotspur/stage/ThroughputModel.java
+++ b/src/main/java/io/shallotspur/stage/ThroughputModel.java
@@ -4,52 +4,56 @@
 import io.shallotspur.route.EngineSpec;
 
 /**
- * What one request costs the engines of a model upstream. Immutable.
+ * Estimates how many requests per second the workers of a model upstream sustain, from
+ * the cost of one request. Immutable.
  *
- * @param prefillMs time of a prefill worker, in milliseconds
- * @param decodeMs time for which it occupies a place at a decode worker, in milliseconds
- * @param places requests that a decode worker has memory and slots for at once
+ * @param prefillMs time that a request takes on a prefill worker, in milliseconds
+ * @param decodeMs time for which a request occupies a slot of a decode worker, in
+ * milliseconds
+ * @param decodeSlots number of requests that a decode worker has slots and memory for at
+ * once
  */
-public record ThroughputModel(double prefillMs, double decodeMs, double places) {
+public record ThroughputModel(double prefillMs, double decodeMs, double decodeSlots) {
 
 	private static final double MS_PER_S = 1_000;
 
-	// Busier than this, a prompt waits twice as long as its prefill takes (a queue with
-	// steady service times), and the first token is late.
-	private static final double PREFILL_BUSY = 0.8;
+	// At this utilization a prompt waits twice its prefill time (a queue with constant
+	// service times); beyond it the first token is late.
+	private static final double MAX_PREFILL_UTILIZATION = 0.8;
 
 	/**
-	 * Returns the load that was seen.
-	 * @param seen the requests and their pace
-	 * @param engine the engines
-	 * @return the load
+	 * Creates a model from observed requests.
+	 * @param statistics statistics of recent requests
+	 * @param engine the configuration of the engines
+	 * @return the model
 	 */
-	static ThroughputModel of(EngineStatistics seen, EngineSpec engine) {
-		double prefill = Math.max(1, seen.prefillMs());
-		// A place is occupied from its reservation on, which comes before the prefill.
-		double decode = prefill + Math.max(1, seen.generationMs());
-		return new ThroughputModel(prefill, decode, places(engine, seen.reservedTokens()));
+	static ThroughputModel of(EngineStatistics statistics, EngineSpec engine) {
+		double prefill = Math.max(1, statistics.prefillMs());
+		// A slot is occupied from its reservation, which precedes the prefill.
+		double decode = prefill + Math.max(1, statistics.generationMs());
+		return new ThroughputModel(prefill, decode, decodeSlots(engine, statistics.reservedTokens()));
 	}
 
-	private static double places(EngineSpec engine, double tokens) {
+	private static double decodeSlots(EngineSpec engine, double tokens) {
 		return Math.min(engine.slots(), engine.cacheTokens() / Math.max(1, tokens));
 	}
 
 	/**
-	 * Returns how many requests a second the workers can answer. What the prefill workers
-	 * cannot take is prefilled at the decode workers, whose time it costs.
-	 * @param prefill prefill workers
-	 * @param decode decode workers
-	 * @return requests a second
+	 * Returns the request rate that the workers sustain. Prompts beyond the capacity of
+	 * the prefill workers are prefilled on the decode workers, which lowers their decode
+	 * capacity.
+	 * @param prefill number of prefill workers
+	 * @param decode number of decode workers
+	 * @return requests per second
 	 */
-	public double perSecond(int prefill, int decode) {
-		double each = this.places * MS_PER_S / this.decodeMs;
-		double apart = prefill * PREFILL_BUSY * MS_PER_S / this.prefillMs;
-		if (decode * each <= apart) {
-			return decode * each;
+	public double requestsPerSecond(int prefill, int decode) {
+		double decodeRate = this.decodeSlots * MS_PER_S / this.decodeMs;
+		double prefillCapacity = prefill * MAX_PREFILL_UTILIZATION * MS_PER_S / this.prefillMs;
+		if (decode * decodeRate <= prefillCapacity) {
+			return decode * decodeRate;
 		}
-		double lost = EngineStatistics.DECODE_PREFILL_SLOWDOWN * this.prefillMs / MS_PER_S;
-		return each * (decode + lost * apart) / (1 + each * lost);
+		double decodePrefillS = EngineStatistics.DECODE_PREFILL_SLOWDOWN * this.prefillMs / MS_PER_S;
+		return decodeRate * (decode + decodePrefillS * prefillCapacity) / (1 + decodeRate * decodePrefillS);
 	}
 
 }
--- a/src/main/java/io/shallotspur/stage/package-info.java
+++ b/src/main/java/io/shallotspur/stage/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Shares the workers of a model upstream out between prefill and decode: decides how many
- * of each the load needs and, on the one VM that holds the duty, has workers change over.
- * Decisions are pure; workers are reached through {@link StagePort}.
+ * Balances the workers of a model upstream between the prefill and decode stages. Plans
+ * how many workers each stage needs for the observed load and, on the VM that is the
+ * leader, orders workers to change stage. Planning is free of side effects; workers are
+ * called through {@link StagePort}.
  */
 @NullMarked
 package io.shallotspur.stage;
--- a/src/test/java/io/shallotspur/stage/FakeStagePort.java
+++ b/src/test/java/io/shallotspur/stage/FakeStagePort.java
@@ -14,7 +14,7 @@
 import io.shallotspur.gateway.WorkerStage;
 
 /**
- * Workers that take orders as the test says.
+ * A fake port whose reports and order results are set by the test.
  */
 final class FakeStagePort implements StagePort {
 
@@ -24,21 +24,21 @@
 
 	OrderResult result = OrderResult.ACCEPTED;
 
-	// Workers that give no report.
-	final Set<String> silent = new HashSet<>();
+	// Workers whose report calls fail.
+	final Set<String> unresponsiveWorkers = new HashSet<>();
 
 	long startedAt;
 
-	// Orders are accepted and their answers lost.
-	boolean losesAnswers;
+	// Orders are processed, but their responses are lost.
+	boolean losesResponses;
 
-	// Orders are lost on their way.
+	// Orders are lost before they reach the worker.
 	boolean losesOrders;
 
 	@Override
 	public Mono<StageReport> report(WorkerInfo worker) {
-		if (this.silent.contains(worker.id())) {
-			return Mono.error(new EngineLostException("silent", worker.id()));
+		if (this.unresponsiveWorkers.contains(worker.id())) {
+			return Mono.error(new EngineLostException("no response", worker.id()));
 		}
 		return Mono
 			.just(this.reports.getOrDefault(worker.id(), new StageReport(worker.stage(), false, 0, this.startedAt)));
@@ -48,16 +48,17 @@
 	public Mono<OrderResult> order(StageOrder order) {
 		this.orders.add(order);
 		if (this.losesOrders) {
-			return Mono.error(new EngineLostException("lost", order.worker().id()));
+			return Mono.error(new EngineLostException("order lost", order.worker().id()));
 		}
 		if (this.result == OrderResult.ACCEPTED) {
-			this.reports.put(order.worker().id(), new StageReport(order.stage(), true, order.expectedOrderCount() + 1, 0));
+			this.reports.put(order.worker().id(),
+					new StageReport(order.stage(), true, order.expectedOrderCount() + 1, 0));
 		}
-		return this.losesAnswers ? Mono.error(new EngineLostException("lost", order.worker().id()))
+		return this.losesResponses ? Mono.error(new EngineLostException("response lost", order.worker().id()))
 				: Mono.just(this.result);
 	}
 
-	void done(String worker, WorkerStage stage) {
+	void completeChange(String worker, WorkerStage stage) {
 		this.reports.put(worker, new StageReport(stage, false, 1, 0));
 	}
 
--- a/src/test/java/io/shallotspur/stage/StageRebalancerTests.java
+++ b/src/test/java/io/shallotspur/stage/StageRebalancerTests.java
@@ -36,19 +36,19 @@
 import io.shallotspur.route.UpstreamSpec;
 
 /**
- * Tests of {@link StageRebalancer} and {@link StageChangeTask}: three workers that prefill and
- * three that decode, of which one too many prefills.
+ * Tests of {@link StageRebalancer} and {@link StageChangeTask} with three prefill and
+ * three decode workers, where the load needs one prefill worker less.
  */
 class StageRebalancerTests {
 
-	private static final String SELF = "vms/me";
+	private static final String SELF_KEY = "vms/me";
 
 	private static final long FENCE = 40;
 
-	// A VM that stands by gathers changes for 1 s, and a slow store takes a while, ms.
+	// In ms. A standby VM batches changes for 1 s, and a slow store adds to that.
 	private static final long STANDBY_FETCH_MS = 1_200;
 
-	private static final ChangeDeadlines BOUNDS = new ChangeDeadlines(2_000, 2_000);
+	private static final ChangeDeadlines CHANGE_DEADLINES = new ChangeDeadlines(2_000, 2_000);
 
 	private final ManualTimer timer = new ManualTimer();
 
@@ -60,29 +60,29 @@
 			new GatewayPorts(new NopWorkers(), this.timer, this.timer::now, this.timer::now, () -> 0.5,
 					new DecisionLog(0), new RelayMetrics(new MetricRegistry())));
 
-	private final RegistryWatcher follower = new RegistryWatcher(this.registry, this.gateway, this.timer,
-			this.timer::now, () -> 0.5, BOUNDS);
+	private final RegistryWatcher watcher = new RegistryWatcher(this.registry, this.gateway, this.timer,
+			this.timer::now, () -> 0.5, CHANGE_DEADLINES);
 
 	@BeforeEach
 	void start() {
-		heard(12);
-		EntryVm self = new EntryVm(SELF, "10.0.0.9:80", "region-1", "hall-a", 1, false);
+		setSampleCount(12);
+		EntryVm self = new EntryVm(SELF_KEY, "10.0.0.9:80", "region-1", "hall-a", 1, false);
 		VmRegistration registration = new VmRegistration(this.registry, self, this.timer);
-		Leadership duty = new Leadership(this.registry, registration, this.gateway.entryVms(), SELF, 3_000,
+		Leadership leadership = new Leadership(this.registry, registration, this.gateway.entryVms(), SELF_KEY, 3_000,
 				this.timer::now);
-		StageRebalancer keeper = new StageRebalancer("vm-1", this.gateway, duty, this.port, this.timer, this.timer::now,
-				BOUNDS.propagationMs());
-		this.registry.leader = new RegistryChange.LeaderElected(SELF, new StorePosition(0, FENCE));
+		StageRebalancer rebalancer = new StageRebalancer("vm-1", this.gateway, leadership, this.port, this.timer,
+				this.timer::now, CHANGE_DEADLINES.propagationMs());
+		this.registry.leader = new RegistryChange.LeaderElected(SELF_KEY, new StorePosition(0, FENCE));
 		this.registry.listings.add(new RegistryUpdate(new StorePosition(0, 50), listing()));
-		this.follower.setOwnRegistration(SELF, () -> {
+		this.watcher.setOwnRegistration(SELF_KEY, () -> {
 		});
-		this.follower.setLeadership(duty);
-		this.follower.start();
+		this.watcher.setLeadership(leadership);
+		this.watcher.start();
 		registration.start();
-		keeper.start();
+		rebalancer.start();
 	}
 
-	private void heard(int samples) {
+	private void setSampleCount(int samples) {
 		this.gateway.engineTimes("llm")
 			.setSharedStatistics(
 					new EngineStatistics(samples, 3_200, 500, 4_000, 0.0323, 0.0323, 7, OutputLengthModel.PRIOR));
@@ -93,7 +93,7 @@
 		List<RegistryChange> l = new ArrayList<>();
 		l.add(new RegistryChange.ConfigUpdated(
 				new RouteTable(1, List.of(), List.of(new UpstreamSpec("llm", 100, engine)), IngressLimits.DEFAULT)));
-		l.add(new RegistryChange.LeaderElected(SELF, new StorePosition(0, FENCE)));
+		l.add(new RegistryChange.LeaderElected(SELF_KEY, new StorePosition(0, FENCE)));
 		for (String hall : List.of("a", "b", "c")) {
 			l.add(new RegistryChange.WorkerUpdated(worker("p-" + hall, hall, WorkerStage.PREFILL)));
 			l.add(new RegistryChange.WorkerUpdated(worker("d-" + hall, hall, WorkerStage.DECODE)));
@@ -105,10 +105,10 @@
 		return new WorkerInfo(id, "llm", "10.0.1.1", 80, hall, 48, stage, false, 0, 0);
 	}
 
-	// Six workers of which three prefill and are a quarter busy, while callers wait for
-	// memory at the other three.
+	// Three prefill workers are 25 % utilized while requests wait for memory at the three
+	// decode workers.
 	@Test
-	void hasOnePrefillWorkerChangeOver() {
+	void movesOnePrefillWorkerToDecode() {
 		this.timer.advance(8_000);
 		Assertions.assertThat(this.port.orders).hasSize(1);
 		StageOrder o = this.port.orders.get(0);
@@ -117,16 +117,18 @@
 		Assertions.assertThat(o.fencingToken()).isEqualTo(FENCE);
 		Assertions.assertThat(o.holder()).isEqualTo("vm-1");
 		Assertions.assertThat(this.registry.announcedStages).isEqualTo(Map.of(o.worker().id(), WorkerStage.DECODE));
-		this.port.done(o.worker().id(), WorkerStage.DECODE);
-		seen(worker(o.worker().id(), "a", WorkerStage.DECODE));
+		this.port.completeChange(o.worker().id(), WorkerStage.DECODE);
+		updateRegistryEntry(worker(o.worker().id(), "a", WorkerStage.DECODE));
 		this.timer.advance(60_000);
 		Assertions.assertThat(this.port.orders).hasSize(1);
 	}
 
-	// VMs that stand by fetch changes seconds later. One that has not heard would go on
-	// sending prompts to a worker that turns them away, and some have no second try.
+	// Standby VMs fetch changes seconds later. A VM that has not received the
+	// announcement
+	// keeps sending prompts to the worker, which rejects them, and some routes allow no
+	// second attempt.
 	@Test
-	void givesTheOrderOnceEachVmHasHeardOfIt() {
+	void sendsOrderAfterAnnouncementHasReachedAllVms() {
 		advanceUntil(() -> !this.registry.announcedStages.isEmpty());
 		long announced = this.timer.now();
 		advanceUntil(() -> !this.port.orders.isEmpty());
@@ -139,19 +141,19 @@
 		}
 	}
 
-	// Nothing is known of the load yet. A worker that changes over is away for seconds,
-	// and may have been right where it was.
+	// The load is not known yet. A worker that changes stage is unavailable for seconds,
+	// and the current split may already be the best one.
 	@Test
-	void givesNoOrderBeforeTheLoadHasBeenSeen() {
-		heard(1);
+	void sendsNoOrderWithTooFewSamples() {
+		setSampleCount(1);
 		this.timer.advance(60_000);
 		Assertions.assertThat(this.port.orders).isEmpty();
 	}
 
-	// A prefill worker crashes and is back within seconds. Were another one sent to
-	// prefill meanwhile, the decode workers would be one short from then on.
+	// A crashed worker returns within seconds. If another worker were moved to its stage
+	// in the meantime, the other stage would be one worker short from then on.
 	@Test
-	void leavesTheWorkersAsTheyAreWhileOneIsAway() {
+	void sendsNoOrderWhileWorkerIsMissing() {
 		this.timer.advance(4_000);
 		this.gateway.roster().entryRemoved("d-a", this.timer.now());
 		this.timer.advance(4_000);
@@ -160,11 +162,11 @@
 		Assertions.assertThat(this.port.orders).isNotEmpty();
 	}
 
-	// An order got no answer, and the worker has started again since. It counts its
-	// orders anew, so the next order for the same count could be taken beside the first
-	// one, which may still come.
+	// An order received no response, and the worker has restarted since, which resets its
+	// order count. A second order with the same expected count could be accepted in
+	// addition to the first one, which may still arrive.
 	@Test
-	void givesNoOrderAgainToAWorkerThatHasStartedAgain() {
+	void doesNotResendOrderToRestartedWorker() {
 		this.port.losesOrders = true;
 		this.port.startedAt = 100;
 		this.timer.advance(7_200);
@@ -179,55 +181,58 @@
 			.doesNotContain("p-a");
 	}
 
-	// The worker that was to change over crashes. While it was waited for, prefill
-	// workers stood idle beside full decode workers for the rest of the burst.
+	// The worker chosen for the change crashes. Waiting for it would leave prefill
+	// workers
+	// idle and decode workers full for the rest of a burst.
 	@Test
-	void hasAnotherWorkerChangeOverWhenOneIsLost() {
-		this.port.silent.add("p-a");
+	void movesAnotherWorkerWhenOneIsLost() {
+		this.port.unresponsiveWorkers.add("p-a");
 		this.timer.advance(20_000);
 		Assertions.assertThat(this.port.orders).extracting((o) -> o.worker().id()).containsExactly("p-b");
 	}
 
-	// The former holder may have sent an order just before it died.
+	// The previous leader may have sent an order just before it failed.
 	@Test
-	void waitsForItsTurn() {
+	void waitsAfterTakingLeadership() {
 		this.timer.advance(4_000);
 		Assertions.assertThat(this.port.orders).isEmpty();
 	}
 
-	// The order was accepted and its answer lost. Given again at once it would be a
+	// The order was accepted, but its response was lost. An immediate resend would be a
 	// second order, and one of the two could undo a later one.
 	@Test
-	void readsBackAnOrderWhoseAnswerWasLost() {
-		this.port.losesAnswers = true;
+	void readsReportWhenOrderResponseIsLost() {
+		this.port.losesResponses = true;
 		this.timer.advance(30_000);
 		Assertions.assertThat(this.port.orders).hasSize(1);
 	}
 
-	// The order was lost on its way, or is still under way. It is given again with the
-	// same number of accepted orders, so that the worker takes one of them only.
+	// The order was lost or is still in transit. It is resent with the same expected
+	// order
+	// count, so that the worker accepts only one of the copies.
 	@Test
-	void givesALostOrderAgainForTheSameCount() {
+	void resendsLostOrderWithSameExpectedOrderCount() {
 		this.port.losesOrders = true;
 		this.timer.advance(30_000);
 		Assertions.assertThat(this.port.orders.size()).isBetween(2, 9);
 		Assertions.assertThat(this.port.orders).allMatch((o) -> o.expectedOrderCount() == 0);
 	}
 
-	// An order without effect: the worker prefills as before, and if it stayed announced
-	// nobody would use it any more.
+	// The order has no effect and the worker keeps its stage. If the announcement
+	// remained, no VM would use the worker any more.
 	@Test
-	void withdrawsTheAnnouncementOfAWorkerThatStaysAsItIs() {
+	void withdrawsAnnouncementWhenOrderIsRefused() {
 		this.port.result = OrderResult.REFUSED;
 		this.timer.advance(8_000);
 		Assertions.assertThat(this.port.orders).hasSize(1);
 		Assertions.assertThat(this.registry.announcedStages).isEmpty();
 	}
 
-	// The VM was paused after it had announced a change, and another has taken over the
-	// duty meanwhile.
+	// The VM was paused after announcing a change, and another VM has become the leader
+	// in
+	// the meantime.
 	@Test
-	void givesNoOrderOnceAnotherHoldsTheDuty() {
+	void sendsNoOrderAfterLosingLeadership() {
 		this.timer.advance(5_100);
 		Assertions.assertThat(this.registry.announcedStages).hasSize(1);
 		Assertions.assertThat(this.port.orders).isEmpty();
@@ -237,14 +242,14 @@
 	}
 
 	@Test
-	void givesNoOrderWithoutTheStore() {
+	void sendsNoOrderWhileStoreIsUnavailable() {
 		this.timer.advance(5_100);
 		this.registry.leader = null;
 		this.timer.advance(20_000);
 		Assertions.assertThat(this.port.orders).isEmpty();
 	}
 
-	private void seen(WorkerInfo w) {
+	private void updateRegistryEntry(WorkerInfo w) {
 		this.gateway.roster().updateEntry(w, this.timer.now());
 	}
 
