--- a/src/test/java/io/shallotspur/platform/soak/Fault.java
+++ b/src/test/java/io/shallotspur/platform/soak/Fault.java
@@ -3,76 +3,77 @@
 import java.util.List;
 
 /**
- * One fault. Immutable.
+ * A fault to inject. Immutable.
  *
- * @param kind what happens
- * @param atMs when it begins, in milliseconds from the start of the traffic
+ * @param kind the kind of the fault
+ * @param atMs when it begins, in milliseconds after the start of fault injection
  * @param forMs how long it lasts, in milliseconds
- * @param target which VM or worker it strikes, by number
+ * @param target the index of the VM or worker that it affects
  */
 record Fault(Kind kind, long atMs, long forMs, int target) {
 
 	/**
-	 * What can happen.
+	 * The kinds of faults.
 	 */
 	enum Kind {
 
-		/** A VM is killed and started again. */
+		/** A VM is killed and restarted. */
 		VM_KILL,
 
-		/** A VM is told to leave and started again when it has ended. */
+		/** A VM receives SIGTERM and is restarted after it has exited. */
 		VM_TERM,
 
-		/** A VM stands still. */
+		/** A VM is paused. */
 		VM_PAUSE,
 
-		/** All VMs are killed at once and started again. */
+		/** All VMs are killed at the same time and restarted. */
 		ALL_KILL,
 
-		/** A worker dies; another incarnation comes at the same address. */
+		/** A worker crashes; another incarnation starts at the same address. */
 		WORKER_CRASH,
 
-		/** A worker is emptied and replaced. */
+		/** A worker is drained and replaced. */
 		WORKER_DRAIN,
 
 		/** Connections to a worker are reset. */
 		WORKER_RESET,
 
-		/** Nothing comes back from a worker. */
+		/** No data from a worker is delivered. */
 		WORKER_ONE_WAY,
 
-		/** Nothing passes to a worker or back. */
+		/** No data to or from a worker is delivered. */
 		WORKER_SILENT,
 
-		/** All that passes to a worker is late. */
+		/** All data to and from a worker is delayed. */
 		WORKER_DELAY,
 
 		/** Connections of one VM to the store are reset. */
 		STORE_RESET,
 
-		/** Nothing passes between one VM and the store. */
+		/** No data between one VM and the store is delivered. */
 		STORE_SILENT,
 
-		/** The store turns all calls away. */
+		/** The store rejects all calls. */
 		STORE_AWAY,
 
-		/** The store forgets its history. */
+		/** The store drops its event history. */
 		STORE_FORGETS,
 
 		/** A new configuration is published. */
 		CONFIGURATION,
 
-		/** The store comes back from a copy; what was lost is written again. */
+		/** The store is restored from a snapshot; the lost entries are rewritten. */
 		STORE_RESTORED,
 
-		/** A worker names a limit of requests a second in its answers. */
+		/** A worker sets a rate limit in its responses. */
 		WORKER_LIMITED;
 
-		// The others of the plan stay as they are for a seed, whatever is added here.
-		static final List<Kind> DRAWN = List.of(values()).subList(0, STORE_RESTORED.ordinal());
+		// Kinds after these are planned separately, so that adding a kind does not change
+		// the other faults of a seed.
+		static final List<Kind> BASE_KINDS = List.of(values()).subList(0, STORE_RESTORED.ordinal());
 
-		// Rules with a time bound hold only for VMs that are left alone, before a store
-		// that is.
+		// Invariants with a deadline hold only while neither the VMs nor the store are
+		// disturbed.
 		boolean disturbsVms() {
 			return !name().startsWith("WORKER") && this != CONFIGURATION;
 		}
--- a/src/test/java/io/shallotspur/platform/soak/FaultInjector.java
+++ b/src/test/java/io/shallotspur/platform/soak/FaultInjector.java
@@ -6,20 +6,20 @@
 import io.shallotspur.platform.FakeStore;
 
 /**
- * Makes faults happen, from outside the processes. One VM is struck by one fault of
- * processes at a time; the others overlap. Thread-safe: each fault has a thread.
+ * Injects faults from outside the VM processes. Faults of the same VM process run one at
+ * a time; all others may overlap. Thread-safe: each fault runs on its own thread.
  */
 final class FaultInjector {
 
 	private static final long RESTART_MS = 300;
 
-	private static final double MOST_LIMIT_PER_S = 4;
+	private static final double MAX_LIMIT_PER_S = 4;
 
-	private static final double MOST_LIMITED_MS = 16_000;
+	private static final double MAX_LIMIT_DURATION_MS = 16_000;
 
-	private static final long AWAY_MS = 200;
+	private static final long RESTORE_OUTAGE_MS = 200;
 
-	private static final long WRITTEN_AGAIN_MS = 1_500;
+	private static final long REWRITE_DELAY_MS = 1_500;
 
 	private final List<VmProcess> vms;
 
@@ -29,41 +29,41 @@
 
 	private final FakeStore store;
 
-	private final Evidence evidence;
+	private final InvariantChecker checker;
 
-	private final Runnable publish;
+	private final Runnable publishConfiguration;
 
-	private final Runnable writeAgain;
+	private final Runnable rewriteLostEntries;
 
 	FaultInjector(List<VmProcess> vms, List<SoakWorker> workers, List<LoopbackProxy> storeProxies, FakeStore store,
-			Evidence evidence, Runnable publish, Runnable writeAgain) {
+			InvariantChecker checker, Runnable publishConfiguration, Runnable rewriteLostEntries) {
 		this.vms = vms;
 		this.workers = workers;
 		this.storeProxies = storeProxies;
 		this.store = store;
-		this.evidence = evidence;
-		this.publish = publish;
-		this.writeAgain = writeAgain;
+		this.checker = checker;
+		this.publishConfiguration = publishConfiguration;
+		this.rewriteLostEntries = rewriteLostEntries;
 	}
 
-	void strike(Fault f) throws IOException, InterruptedException {
+	void inject(Fault f) throws IOException, InterruptedException {
 		if (!f.kind().disturbsVms()) {
-			make(f);
+			apply(f);
 			return;
 		}
-		this.evidence.disturbanceBegins();
-		List<VmProcess> struck = struck(f);
-		struck.forEach((vm) -> this.evidence.struck(vm.callers(), Evidence.nowMs()));
+		this.checker.onDisturbanceStarted();
+		List<VmProcess> affected = affectedVms(f);
+		affected.forEach((vm) -> this.checker.onVmDisturbed(vm.callerAddress(), InvariantChecker.nowMs()));
 		try {
-			make(f);
+			apply(f);
 		}
 		finally {
-			this.evidence.disturbanceEnds(Evidence.nowMs());
-			struck.forEach((vm) -> this.evidence.struck(vm.callers(), Evidence.nowMs()));
+			this.checker.onDisturbanceEnded(InvariantChecker.nowMs());
+			affected.forEach((vm) -> this.checker.onVmDisturbed(vm.callerAddress(), InvariantChecker.nowMs()));
 		}
 	}
 
-	private List<VmProcess> struck(Fault f) {
+	private List<VmProcess> affectedVms(Fault f) {
 		return switch (f.kind()) {
 			case ALL_KILL -> this.vms;
 			case VM_KILL, VM_TERM, VM_PAUSE, STORE_RESET, STORE_SILENT -> List.of(this.vms.get(f.target()));
@@ -71,27 +71,27 @@
 		};
 	}
 
-	private void make(Fault f) throws IOException, InterruptedException {
+	private void apply(Fault f) throws IOException, InterruptedException {
 		switch (f.kind()) {
-			case VM_KILL, VM_TERM, VM_PAUSE -> process(f, this.vms.get(f.target()));
+			case VM_KILL, VM_TERM, VM_PAUSE -> applyToVm(f, this.vms.get(f.target()));
 			case ALL_KILL -> killAll(0);
 			case WORKER_CRASH -> this.workers.get(f.target()).crash();
 			case WORKER_DRAIN -> this.workers.get(f.target()).drain();
 			case WORKER_RESET -> this.workers.get(f.target()).proxy().reset();
-			case WORKER_ONE_WAY -> during(f, this.workers.get(f.target()).proxy(), LoopbackProxy.Mode.ONE_WAY);
-			case WORKER_SILENT -> during(f, this.workers.get(f.target()).proxy(), LoopbackProxy.Mode.SILENT);
-			case WORKER_DELAY -> during(f, this.workers.get(f.target()).proxy(), LoopbackProxy.Mode.DELAY);
+			case WORKER_ONE_WAY -> applyMode(f, this.workers.get(f.target()).proxy(), LoopbackProxy.Mode.ONE_WAY);
+			case WORKER_SILENT -> applyMode(f, this.workers.get(f.target()).proxy(), LoopbackProxy.Mode.SILENT);
+			case WORKER_DELAY -> applyMode(f, this.workers.get(f.target()).proxy(), LoopbackProxy.Mode.DELAY);
 			case STORE_RESET -> this.storeProxies.get(f.target()).reset();
-			case STORE_SILENT -> during(f, this.storeProxies.get(f.target()), LoopbackProxy.Mode.SILENT);
-			case STORE_AWAY -> storeAway(f);
+			case STORE_SILENT -> applyMode(f, this.storeProxies.get(f.target()), LoopbackProxy.Mode.SILENT);
+			case STORE_AWAY -> makeStoreUnavailable(f);
 			case STORE_FORGETS -> this.store.dropHistory();
-			case CONFIGURATION -> this.publish.run();
-			case STORE_RESTORED -> storeRestored(f);
-			case WORKER_LIMITED -> limited(f);
+			case CONFIGURATION -> this.publishConfiguration.run();
+			case STORE_RESTORED -> restoreStore(f);
+			case WORKER_LIMITED -> limitWorker(f);
 		}
 	}
 
-	private void process(Fault f, VmProcess vm) throws IOException, InterruptedException {
+	private void applyToVm(Fault f, VmProcess vm) throws IOException, InterruptedException {
 		synchronized (vm) {
 			switch (f.kind()) {
 				case VM_PAUSE -> {
@@ -100,23 +100,23 @@
 					vm.resume();
 				}
 				case VM_TERM -> {
-					int code = vm.leave();
-					if (code != 0) {
-						this.evidence.broken("LEAVE vm=" + vm.callers() + " code=" + code);
+					int exitCode = vm.terminate();
+					if (exitCode != 0) {
+						this.checker.addViolation("LEAVE vm=" + vm.callerAddress() + " code=" + exitCode);
 					}
-					again(vm);
+					restart(vm);
 				}
 				default -> {
 					vm.kill();
-					again(vm);
+					restart(vm);
 				}
 			}
 		}
 	}
 
-	// No VM may be struck by another fault between its end and its start, so all are held
-	// until all have been started; in their order, so that two such faults cannot wait
-	// for each other.
+	// Holds the monitors of all VMs until all are restarted, so that no other fault
+	// affects a VM that is down. Monitors are taken in index order, so that two such
+	// faults cannot deadlock.
 	private void killAll(int from) throws IOException, InterruptedException {
 		if (from == this.vms.size()) {
 			Thread.sleep(RESTART_MS);
@@ -132,36 +132,36 @@
 		}
 	}
 
-	private static void again(VmProcess vm) throws IOException, InterruptedException {
+	private static void restart(VmProcess vm) throws IOException, InterruptedException {
 		Thread.sleep(RESTART_MS);
 		vm.start();
 	}
 
-	private void limited(Fault f) throws InterruptedException {
+	private void limitWorker(Fault f) throws InterruptedException {
 		SoakWorker w = this.workers.get(f.target());
-		w.limit(MOST_LIMIT_PER_S * f.forMs() / MOST_LIMITED_MS);
+		w.setRateLimit(MAX_LIMIT_PER_S * f.forMs() / MAX_LIMIT_DURATION_MS);
 		Thread.sleep(f.forMs());
-		w.limit(Double.POSITIVE_INFINITY);
+		w.setRateLimit(Double.POSITIVE_INFINITY);
 	}
 
-	private void storeAway(Fault f) throws InterruptedException {
+	private void makeStoreUnavailable(Fault f) throws InterruptedException {
 		this.store.setUnavailable(true);
 		Thread.sleep(f.forMs());
 		this.store.setUnavailable(false);
 	}
 
-	private void storeRestored(Fault f) throws InterruptedException {
+	private void restoreStore(Fault f) throws InterruptedException {
 		this.store.takeSnapshot();
 		Thread.sleep(f.forMs());
 		this.store.setUnavailable(true);
-		Thread.sleep(AWAY_MS);
+		Thread.sleep(RESTORE_OUTAGE_MS);
 		this.store.restoreSnapshot();
 		this.store.setUnavailable(false);
-		Thread.sleep(WRITTEN_AGAIN_MS);
-		this.writeAgain.run();
+		Thread.sleep(REWRITE_DELAY_MS);
+		this.rewriteLostEntries.run();
 	}
 
-	private static void during(Fault f, LoopbackProxy p, LoopbackProxy.Mode mode) throws InterruptedException {
+	private static void applyMode(Fault f, LoopbackProxy p, LoopbackProxy.Mode mode) throws InterruptedException {
 		p.mode(mode);
 		Thread.sleep(f.forMs());
 		p.mode(LoopbackProxy.Mode.PASS);
--- /dev/null
+++ b/src/test/java/io/shallotspur/platform/soak/InvariantChecker.java
@@ -0,0 +1,273 @@
+package io.shallotspur.platform.soak;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.concurrent.atomic.AtomicLong;
+
+/**
+ * Records what callers and workers observe and checks the invariants of the system.
+ * Thread-safe.
+ */
+final class InvariantChecker {
+
+	private static final Set<Integer> NOT_EXECUTED_STATUSES = Set.of(408, 421, 429, 503);
+
+	// In ms. A draining worker must not receive requests later than this.
+	private static final long DRAIN_DEADLINE_MS = 2_000;
+
+	// In ms. Deadlines are checked only if no disturbance of the VMs or the store ended
+	// within this time.
+	private static final long RECOVERY_MS = 3_000;
+
+	private final AtomicInteger activeDisturbances = new AtomicInteger();
+
+	private final AtomicLong lastDisturbanceEndedAt = new AtomicLong(Long.MIN_VALUE / 2);
+
+	private final Map<String, RequestKind> kindByRequest = new ConcurrentHashMap<>();
+
+	private final Map<String, String> vmByRequest = new ConcurrentHashMap<>();
+
+	private final Map<String, Credentials> credentials = new ConcurrentHashMap<>();
+
+	private final SoakKeys keys;
+
+	private final Map<String, List<String>> workersByRequest = new ConcurrentHashMap<>();
+
+	private final Map<String, Integer> refusalStatuses = new ConcurrentHashMap<>();
+
+	private final Map<String, RateLimitedWorker> rateLimitedWorkers = new ConcurrentHashMap<>();
+
+	private final Map<String, Long> fencingTokens = new ConcurrentHashMap<>();
+
+	private final List<String> violations = new CopyOnWriteArrayList<>();
+
+	InvariantChecker(SoakKeys keys) {
+		this.keys = keys;
+	}
+
+	/**
+	 * Called when a caller sends a request with an API key.
+	 * @param id the request id
+	 * @param kind the kind of the request
+	 * @param key the API key
+	 * @param nowMs the current time in milliseconds
+	 */
+	void onRequestSent(String id, RequestKind kind, String key, long nowMs) {
+		this.credentials.put(id, new Credentials(key, nowMs));
+		onRequestSent(id, kind);
+	}
+
+	/**
+	 * Called when a caller chooses a VM for a request.
+	 * @param id the request id
+	 * @param vm the address of the VM
+	 */
+	void onVmChosen(String id, String vm) {
+		this.vmByRequest.put(id, vm);
+	}
+
+	/**
+	 * Called when a fault that stops, pauses or isolates a VM begins or ends.
+	 * @param vm the address of the VM
+	 * @param nowMs the current time in milliseconds
+	 */
+	void onVmDisturbed(String vm, long nowMs) {
+		this.rateLimitedWorkers.values().forEach((worker) -> worker.onVmDisturbed(vm, nowMs));
+	}
+
+	void onRequestSent(String id, RequestKind kind) {
+		this.kindByRequest.put(id, kind);
+	}
+
+	/**
+	 * Called when a worker starts to execute a request.
+	 * @param id the request id
+	 * @param worker the worker id
+	 */
+	void onRequestStarted(String id, String worker) {
+		this.workersByRequest.computeIfAbsent(id, (i) -> new CopyOnWriteArrayList<>()).add(worker);
+		if (!this.kindByRequest.containsKey(id)) {
+			addViolation("UNASKED id=" + id + " worker=" + worker);
+		}
+	}
+
+	static long nowMs() {
+		return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
+	}
+
+	/** Called when a fault begins that disturbs VMs or the store. */
+	void onDisturbanceStarted() {
+		this.activeDisturbances.incrementAndGet();
+	}
+
+	/**
+	 * Called when a fault that disturbs VMs or the store ends.
+	 * @param nowMs the current time in milliseconds
+	 */
+	void onDisturbanceEnded(long nowMs) {
+		this.lastDisturbanceEndedAt.set(nowMs);
+		this.activeDisturbances.decrementAndGet();
+	}
+
+	/**
+	 * Called when a request reaches a worker.
+	 * @param id the request id
+	 * @param worker the worker id
+	 * @param drainingSinceMs when the store acknowledged that the worker is draining, in
+	 * milliseconds; {@link Long#MAX_VALUE} if it is not
+	 * @param nowMs the current time in milliseconds
+	 */
+	void onRequestReceived(String id, String worker, long drainingSinceMs, long nowMs) {
+		RateLimitedWorker limit = this.rateLimitedWorkers.get(worker);
+		if (limit != null) {
+			limit.onRequestReceived(this.vmByRequest.getOrDefault(id, ""), nowMs)
+				.ifPresent((excess) -> addViolation("LIMIT id=" + id + " worker=" + worker + " " + excess));
+		}
+		long elapsedMs = nowMs - drainingSinceMs;
+		boolean undisturbed = this.activeDisturbances.get() == 0
+				&& this.lastDisturbanceEndedAt.get() + RECOVERY_MS < drainingSinceMs;
+		if (drainingSinceMs != Long.MAX_VALUE && elapsedMs > DRAIN_DEADLINE_MS && undisturbed) {
+			addViolation("DRAIN id=" + id + " worker=" + worker + " ms-after-leaving=" + elapsedMs);
+		}
+	}
+
+	/**
+	 * Called when a worker sets or removes a rate limit.
+	 * @param worker the worker id
+	 * @param perSecond the limit in requests per second; infinite for none
+	 * @param nowMs the current time in milliseconds
+	 */
+	void onRateLimitChanged(String worker, double perSecond, long nowMs) {
+		if (perSecond < Double.POSITIVE_INFINITY) {
+			this.rateLimitedWorkers.put(worker, new RateLimitedWorker(perSecond, nowMs));
+		}
+		else {
+			this.rateLimitedWorkers.remove(worker);
+		}
+	}
+
+	/**
+	 * Called when a worker executes a request, with the credentials that it received.
+	 * @param id the request id
+	 * @param customer the customer, or {@code null}
+	 * @param key the API key, which must not be forwarded and is expected to be
+	 * {@code null}
+	 */
+	void onCredentialsReceived(String id, String customer, String key) {
+		Credentials c = this.credentials.get(id);
+		if (c == null) {
+			return;
+		}
+		if (key != null) {
+			addViolation("UNASKED id=" + id + " the API key was forwarded");
+		}
+		if (!SoakKeys.customerOf(c.key()).equals(customer)) {
+			addViolation("UNASKED id=" + id + " key=" + c.key() + " customer=" + customer);
+		}
+		this.keys.checkRevocation(c.key(), c.sentAtMs())
+			.ifPresent((reason) -> addViolation("CONFIG id=" + id + " key=" + c.key() + " " + reason));
+	}
+
+	/**
+	 * Called when a worker accepts an order.
+	 * @param worker the worker id
+	 * @param fencingToken the fencing token of the order
+	 */
+	void onOrderAccepted(String worker, long fencingToken) {
+		Long previous = this.fencingTokens.put(worker, fencingToken);
+		if (previous != null && previous > fencingToken) {
+			addViolation("ONE worker=" + worker + " fence=" + fencingToken + " after=" + previous);
+		}
+	}
+
+	/**
+	 * Called when a caller receives a complete response.
+	 * @param id the request id
+	 * @param status the status code
+	 * @param body the response body
+	 */
+	void onResponse(String id, int status, String body) {
+		if (NOT_EXECUTED_STATUSES.contains(status)) {
+			this.refusalStatuses.put(id, status);
+		}
+		else if (status == 200) {
+			checkResponse(id, body);
+		}
+	}
+
+	private void checkResponse(String id, String body) {
+		List<String> workers = this.workersByRequest.getOrDefault(id, List.of());
+		if (workers.isEmpty()) {
+			addViolation("MIXED id=" + id + " response without a run");
+		}
+		else if (this.kindByRequest.get(id).stream) {
+			if (!body.equals(SoakWorker.eventStream(id, 0))) {
+				addViolation("ORDER id=" + id + " body=\"" + body.replace('\n', '|') + "\"");
+			}
+		}
+		else if (workers.stream().noneMatch((w) -> body.equals(SoakWorker.plainResponse(id, w)))) {
+			addViolation("MIXED id=" + id + " by=" + workers + " body=\"" + body + "\"");
+		}
+	}
+
+	void addViolation(String violation) {
+		this.violations.add(violation);
+	}
+
+	/**
+	 * Returns the violations. Complete only after all requests have ended.
+	 * @return the violated invariants; empty if all hold
+	 */
+	List<String> violations() {
+		List<String> l = new ArrayList<>(this.violations);
+		this.workersByRequest.forEach((id, workers) -> {
+			if (workers.size() > 1 && !this.kindByRequest.getOrDefault(id, RequestKind.UNSAFE).repeatable) {
+				l.add("TWICE id=" + id + " by=" + workers);
+			}
+			if (this.refusalStatuses.containsKey(id)
+					&& !this.kindByRequest.getOrDefault(id, RequestKind.UNSAFE).repeatable) {
+				l.add("REFUSED id=" + id + " status=" + this.refusalStatuses.get(id) + " by=" + workers);
+			}
+		});
+		return l;
+	}
+
+	String summary() {
+		long runs = this.workersByRequest.values().stream().mapToInt(List::size).sum();
+		return "sent=" + this.kindByRequest.size() + " runs=" + runs + " refused=" + this.refusalStatuses.size()
+				+ " orders=" + this.fencingTokens.size();
+	}
+
+	private record Credentials(String key, long sentAtMs) {
+
+	}
+
+	/**
+	 * The kind of a request.
+	 */
+	enum RequestKind {
+
+		SAFE("safe", true, false), UNSAFE("unsafe", false, false), STREAM("once", false, true),
+		RESUMABLE_STREAM("resume", true, true);
+
+		final String route;
+
+		final boolean repeatable;
+
+		final boolean stream;
+
+		RequestKind(String route, boolean repeatable, boolean stream) {
+			this.route = route;
+			this.repeatable = repeatable;
+			this.stream = stream;
+		}
+
+	}
+
+}
--- /dev/null
+++ b/src/test/java/io/shallotspur/platform/soak/InvariantCheckerTests.java
@@ -0,0 +1,176 @@
+package io.shallotspur.platform.soak;
+
+import java.util.List;
+
+import org.assertj.core.api.Assertions;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Tests of {@link InvariantChecker}: it reports every violation and nothing else.
+ */
+class InvariantCheckerTests {
+
+	private final SoakKeys keys = new SoakKeys();
+
+	private final InvariantChecker checker = new InvariantChecker(this.keys);
+
+	private List<String> violatedInvariants() {
+		return this.checker.violations()
+			.stream()
+			.map((violation) -> violation.substring(0, violation.indexOf(' ')))
+			.toList();
+	}
+
+	@Test
+	void reportsNothingForCorrectRun() {
+		this.checker.onRequestSent("a", InvariantChecker.RequestKind.UNSAFE);
+		this.checker.onRequestStarted("a", "w1");
+		this.checker.onResponse("a", 200, SoakWorker.plainResponse("a", "w1"));
+		this.checker.onRequestSent("b", InvariantChecker.RequestKind.STREAM);
+		this.checker.onRequestStarted("b", "w2");
+		this.checker.onResponse("b", 200, SoakWorker.eventStream("b", 0));
+		this.checker.onRequestSent("c", InvariantChecker.RequestKind.UNSAFE);
+		this.checker.onResponse("c", 503, "workers-full");
+		this.checker.onRequestSent("d", InvariantChecker.RequestKind.SAFE);
+		this.checker.onRequestStarted("d", "w1");
+		this.checker.onRequestStarted("d", "w2");
+		this.checker.onResponse("d", 502, "worker-lost");
+		Assertions.assertThat(violatedInvariants()).isEmpty();
+	}
+
+	@Test
+	void reportsRequestReceivedAfterDrainDeadline() {
+		this.checker.onRequestReceived("a", "w1", Long.MAX_VALUE, 10_000);
+		this.checker.onRequestReceived("b", "w1", 10_000, 12_000);
+		Assertions.assertThat(violatedInvariants()).isEmpty();
+		this.checker.onRequestReceived("c", "w1", 10_000, 12_001);
+		Assertions.assertThat(violatedInvariants()).containsExactly("DRAIN");
+	}
+
+	@Test
+	void ignoresDrainDeadlineDuringAndShortlyAfterDisturbances() {
+		this.checker.onDisturbanceStarted();
+		this.checker.onRequestReceived("a", "w1", 10_000, 12_001);
+		this.checker.onDisturbanceEnded(8_000);
+		this.checker.onRequestReceived("b", "w1", 10_000, 12_001);
+		Assertions.assertThat(violatedInvariants()).isEmpty();
+		this.checker.onRequestReceived("c", "w1", 11_001, 13_002);
+		Assertions.assertThat(violatedInvariants()).containsExactly("DRAIN");
+	}
+
+	@Test
+	void reportsSecondRunOfNonRepeatableRequest() {
+		this.checker.onRequestSent("a", InvariantChecker.RequestKind.STREAM);
+		this.checker.onRequestStarted("a", "w1");
+		this.checker.onRequestStarted("a", "w2");
+		Assertions.assertThat(violatedInvariants()).containsExactly("TWICE");
+	}
+
+	// The run may start long after the refusal.
+	@Test
+	void reportsRunOfRefusedRequest() {
+		this.checker.onRequestSent("a", InvariantChecker.RequestKind.UNSAFE);
+		this.checker.onResponse("a", 503, "workers-full");
+		this.checker.onRequestStarted("a", "w1");
+		Assertions.assertThat(violatedInvariants()).containsExactly("REFUSED");
+	}
+
+	@Test
+	void reportsResponsesThatNoWorkerSent() {
+		this.checker.onRequestSent("a", InvariantChecker.RequestKind.UNSAFE);
+		this.checker.onRequestStarted("a", "w1");
+		this.checker.onResponse("a", 200, SoakWorker.plainResponse("b", "w1"));
+		this.checker.onRequestSent("c", InvariantChecker.RequestKind.UNSAFE);
+		this.checker.onResponse("c", 200, SoakWorker.plainResponse("c", "w1"));
+		Assertions.assertThat(violatedInvariants()).containsExactly("MIXED", "MIXED");
+	}
+
+	@Test
+	void reportsStreamsWithGapsDuplicatesAndTruncation() {
+		for (String id : List.of("a", "b", "c")) {
+			this.checker.onRequestSent(id, InvariantChecker.RequestKind.RESUMABLE_STREAM);
+			this.checker.onRequestStarted(id, "w1");
+		}
+		this.checker.onResponse("a", 200, SoakWorker.eventStream("a", 1));
+		this.checker.onResponse("b", 200, SoakWorker.eventStream("b", 0) + "id: 12\ndata: b 12\n\n");
+		this.checker.onResponse("c", 200, "id: 1\ndata: c 1\n\n");
+		Assertions.assertThat(violatedInvariants()).containsExactly("ORDER", "ORDER", "ORDER");
+	}
+
+	@Test
+	void reportsRunOfUnknownRequest() {
+		this.checker.onRequestStarted("x", "w1");
+		Assertions.assertThat(violatedInvariants()).containsExactly("UNASKED");
+	}
+
+	@Test
+	void reportsOrderWithOutdatedFencingToken() {
+		this.checker.onOrderAccepted("w1", 9);
+		this.checker.onOrderAccepted("w2", 8);
+		this.checker.onOrderAccepted("w1", 8);
+		Assertions.assertThat(violatedInvariants()).containsExactly("ONE");
+	}
+
+	@Test
+	void reportsRunWithKeyRevokedBeyondGracePeriod() {
+		this.keys.issueTemporaryKey();
+		this.keys.issueTemporaryKey();
+		this.keys.onKeyPublished(1_000);
+		this.checker.onRequestSent("a", InvariantChecker.RequestKind.SAFE, "passing-0", 6_000);
+		this.checker.onCredentialsReceived("a", "customer-0", null);
+		this.checker.onRequestSent("b", InvariantChecker.RequestKind.SAFE, "passing-1", 9_000);
+		this.checker.onCredentialsReceived("b", "customer-0", null);
+		Assertions.assertThat(violatedInvariants()).isEmpty();
+		this.checker.onRequestSent("c", InvariantChecker.RequestKind.SAFE, "passing-0", 6_001);
+		this.checker.onCredentialsReceived("c", "customer-0", null);
+		Assertions.assertThat(violatedInvariants()).containsExactly("CONFIG");
+	}
+
+	@Test
+	void reportsWrongCustomerAndForwardedKey() {
+		this.checker.onRequestSent("a", InvariantChecker.RequestKind.SAFE, "lasting-1", 0);
+		this.checker.onCredentialsReceived("a", "customer-1", null);
+		Assertions.assertThat(violatedInvariants()).isEmpty();
+		this.checker.onCredentialsReceived("a", "customer-2", null);
+		this.checker.onCredentialsReceived("a", "customer-1", "Bearer lasting-1");
+		this.checker.onCredentialsReceived("a", null, null);
+		Assertions.assertThat(violatedInvariants()).containsExactly("UNASKED", "UNASKED", "UNASKED");
+	}
+
+	@Test
+	void reportsRequestsOverTheRateLimit() {
+		this.checker.onRateLimitChanged("w1", 1, 0);
+		receiveRequests(100, 0, 3_000);
+		receiveRequests(400, 3_000, 12_000);
+		Assertions.assertThat(violatedInvariants()).isEmpty();
+		receiveRequests(300, 12_000, 16_000);
+		Assertions.assertThat(violatedInvariants()).containsOnly("LIMIT");
+	}
+
+	@Test
+	void ignoresRemovedRateLimitAndDisturbedVm() {
+		this.checker.onRateLimitChanged("w1", 1, 0);
+		this.checker.onVmChosen("a", "vm-1");
+		this.checker.onVmDisturbed("vm-1", 2_500);
+		receiveRequests(100, 2_500, 5_500);
+		this.checker.onVmDisturbed("vm-1", 5_500);
+		receiveRequests(100, 5_500, 8_400);
+		this.checker.onRateLimitChanged("w1", Double.POSITIVE_INFINITY, 8_400);
+		receiveRequests(100, 8_400, 20_000);
+		Assertions.assertThat(violatedInvariants()).isEmpty();
+	}
+
+	private void receiveRequests(long intervalMs, long fromMs, long untilMs) {
+		for (long now = fromMs; now < untilMs; now += intervalMs) {
+			this.checker.onRequestReceived("a", "w1", Long.MAX_VALUE, now);
+		}
+	}
+
+	// A failure can be reproduced only if the same seed plans the same faults.
+	@Test
+	void plansSameFaultsForSameSeed() {
+		Assertions.assertThat(FaultPlan.plan(7, 12_000, 4, 9)).isEqualTo(FaultPlan.plan(7, 12_000, 4, 9));
+		Assertions.assertThat(FaultPlan.plan(8, 12_000, 4, 9)).isNotEqualTo(FaultPlan.plan(7, 12_000, 4, 9));
+	}
+
+}
--- a/src/test/java/io/shallotspur/platform/soak/LoopbackProxy.java
+++ b/src/test/java/io/shallotspur/platform/soak/LoopbackProxy.java
@@ -10,36 +10,36 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Passes connections on to a port of this machine, and fails as it is told. Thread-safe.
+ * Forwards connections to a local port and simulates network faults. Thread-safe.
  */
 final class LoopbackProxy {
 
-	private static final int BUFFER = 16 << 10;
+	private static final int BUFFER_SIZE = 16 << 10;
 
-	private static final long CHECK_MS = 20;
+	private static final long POLL_MS = 20;
 
 	private static final long DELAY_MS = 250;
 
 	private final ServerSocket listener;
 
-	private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+	private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
 
-	private volatile int target;
+	private volatile int targetPort;
 
 	private volatile Mode mode = Mode.PASS;
 
-	LoopbackProxy(int target) throws IOException {
-		this.target = target;
+	LoopbackProxy(int targetPort) throws IOException {
+		this.targetPort = targetPort;
 		this.listener = new ServerSocket(0, 256, InetAddress.getLoopbackAddress());
-		daemon(this::accept);
+		startDaemon(this::acceptConnections);
 	}
 
 	int port() {
 		return this.listener.getLocalPort();
 	}
 
-	void target(int port) {
-		this.target = port;
+	void targetPort(int port) {
+		this.targetPort = port;
 	}
 
 	void mode(Mode next) {
@@ -50,7 +50,7 @@
 	 * Resets all connections.
 	 */
 	void reset() {
-		this.open.forEach(LoopbackProxy::reset);
+		this.openSockets.forEach(LoopbackProxy::reset);
 	}
 
 	void stop() {
@@ -58,71 +58,71 @@
 		close(this.listener);
 	}
 
-	private static void daemon(Runnable r) {
+	private static void startDaemon(Runnable r) {
 		Thread t = new Thread(r, "proxy");
 		t.setDaemon(true);
 		t.start();
 	}
 
-	private void accept() {
+	private void acceptConnections() {
 		while (!this.listener.isClosed()) {
 			try {
-				Socket near = this.listener.accept();
-				daemon(() -> join(near));
+				Socket client = this.listener.accept();
+				startDaemon(() -> connect(client));
 			}
 			catch (IOException ex) {
-				// Closed: the run is over.
+				// The listener was closed at the end of the run.
 				return;
 			}
 		}
 	}
 
-	private void join(Socket near) {
-		Socket far;
+	private void connect(Socket client) {
+		Socket server;
 		try {
-			near.setTcpNoDelay(true);
-			far = new Socket(InetAddress.getLoopbackAddress(), this.target);
-			far.setTcpNoDelay(true);
+			client.setTcpNoDelay(true);
+			server = new Socket(InetAddress.getLoopbackAddress(), this.targetPort);
+			server.setTcpNoDelay(true);
 		}
 		catch (IOException ex) {
-			// Nobody listens there: the caller sees its connection reset, as it would.
-			reset(near);
+			// The target is down. The client sees a reset, as it would without the proxy.
+			reset(client);
 			return;
 		}
-		this.open.add(near);
-		this.open.add(far);
-		daemon(() -> pump(near, far, false));
-		daemon(() -> pump(far, near, true));
+		this.openSockets.add(client);
+		this.openSockets.add(server);
+		startDaemon(() -> forward(client, server, false));
+		startDaemon(() -> forward(server, client, true));
 	}
 
-	private void pump(Socket from, Socket to, boolean back) {
-		byte[] buf = new byte[BUFFER];
+	private void forward(Socket from, Socket to, boolean fromTarget) {
+		byte[] buf = new byte[BUFFER_SIZE];
 		try {
 			InputStream in = from.getInputStream();
 			OutputStream out = to.getOutputStream();
 			for (int n = in.read(buf); n >= 0; n = in.read(buf)) {
-				hold(back);
+				applyMode(fromTarget);
 				out.write(buf, 0, n);
 			}
-			hold(back);
+			applyMode(fromTarget);
 			to.shutdownOutput();
 		}
 		catch (IOException | InterruptedException ex) {
-			// One side is gone; so is the other.
+			// If one side fails, the other is reset too.
 			reset(from);
 			reset(to);
 		}
 		finally {
-			this.open.remove(from);
+			this.openSockets.remove(from);
 		}
 	}
 
-	private void hold(boolean back) throws InterruptedException {
+	private void applyMode(boolean fromTarget) throws InterruptedException {
 		if (this.mode == Mode.DELAY) {
 			Thread.sleep(DELAY_MS);
 		}
-		while (this.mode == Mode.SILENT || (this.mode == Mode.ONE_WAY && back)) {
-			Thread.sleep(CHECK_MS);
+		while (this.mode == Mode.SILENT || (this.mode == Mode.ONE_WAY && fromTarget)) {
+			Thread.sleep(POLL_MS);
 		}
 	}
 
@@ -131,22 +131,23 @@
 			s.setSoLinger(true, 0);
 		}
 		catch (IOException ex) {
-			// Closed already.
+			// The socket is already closed.
 		}
 		close(s);
 	}
 
-	private static void close(AutoCloseable c) {
+	private static void close(AutoCloseable resource) {
 		try {
-			c.close();
+			resource.close();
 		}
 		catch (Exception ex) {
-			// It is gone either way.
+			// A failed close needs no handling.
 		}
 	}
 
 	/**
-	 * What passes.
+	 * What happens to forwarded data: delivered, delayed, delivered to the target only,
+	 * or held back in both directions.
 	 */
 	enum Mode {
 
--- a/src/test/java/io/shallotspur/platform/soak/SoakRun.java
+++ b/src/test/java/io/shallotspur/platform/soak/SoakRun.java
@@ -18,23 +18,24 @@
 import io.shallotspur.platform.FakeStore;
 
 /**
- * One run: processes, stand-ins, callers and faults of one seed. Used by one thread.
+ * The soak run of one seed, with its VM processes, fakes, callers and faults. Used by one
+ * thread.
  */
 final class SoakRun {
 
-	// Long enough for a machine that is busy with other things; nothing is judged by it
-	// but that the VMs serve again at all, s.
-	private static final long RECOVERY_S = 45;
+	// In s. Long enough for a machine under other load; it only checks that the VMs serve
+	// requests again at all.
+	private static final long RECOVERY_TIMEOUT_S = 45;
 
 	private static final int CALLERS = 12;
 
-	private static final int SERVED_AGAIN = 40;
+	private static final int RECOVERED_RESPONSES = 40;
 
 	private static final int FIRST_PORT = 18_000;
 
-	private static final int PORTS = 14_000;
+	private static final int PORT_COUNT = 14_000;
 
-	private static final int PORTS_A_VM = 4;
+	private static final int PORTS_PER_VM = 4;
 
 	private final long seed;
 
@@ -46,7 +47,7 @@
 
 	private final SoakKeys keys = new SoakKeys();
 
-	private final Evidence evidence = new Evidence(this.keys);
+	private final InvariantChecker checker = new InvariantChecker(this.keys);
 
 	private final List<VmProcess> vms = new ArrayList<>();
 
@@ -56,101 +57,101 @@
 
 	private final List<SoakCaller> callers = new ArrayList<>();
 
-	private final ExecutorService faults = Executors.newCachedThreadPool();
+	private final ExecutorService faultExecutor = Executors.newCachedThreadPool();
 
 	private final FaultInjector injector = new FaultInjector(this.vms, this.workers, this.storeProxies, this.store,
-			this.evidence, this::publish, this::writeAgain);
+			this.checker, this::publishConfiguration, this::rewriteLostEntries);
 
-	private int version = 7;
+	private int configVersion = 7;
 
-	private String published = "";
+	private String publishedConfig = "";
 
 	SoakRun(long seed, int vms, long lengthMs, Path dir) throws IOException {
 		this.seed = seed;
 		this.lengthMs = lengthMs;
 		this.dir = dir;
-		publish();
+		publishConfiguration();
 		Map<String, String> caches = new ConcurrentHashMap<>();
 		String[] stages = { "", "", "", "prefill", "prefill", "prefill", "decode", "decode", "decode" };
 		for (int i = 0; i < stages.length; i++) {
 			this.workers.add(new SoakWorker(stages[i].isEmpty() ? "plain" : "llm", i, stages[i], this.store,
-					this.evidence, caches));
+					this.checker, caches));
 		}
 		for (int i = 0; i < vms; i++) {
 			LoopbackProxy p = new LoopbackProxy(this.store.address().port());
 			this.storeProxies.add(p);
-			this.vms.add(new VmProcess(i, dir, ports(), p.port()));
+			this.vms.add(new VmProcess(i, dir, chooseFreePorts(), p.port()));
 		}
 	}
 
-	// Below the range from which connections get their own ports: one of those, given to
-	// a connection while a VM is down, would keep the VM from starting again.
-	private static int[] ports() throws IOException {
-		List<ServerSocket> l = new ArrayList<>();
-		while (l.size() < PORTS_A_VM) {
-			int port = FIRST_PORT + ThreadLocalRandom.current().nextInt(PORTS);
+	// Chooses ports below the ephemeral range. An ephemeral port could be assigned to an
+	// outgoing connection while the VM is down, and the VM could not restart.
+	private static int[] chooseFreePorts() throws IOException {
+		List<ServerSocket> sockets = new ArrayList<>();
+		while (sockets.size() < PORTS_PER_VM) {
+			int port = FIRST_PORT + ThreadLocalRandom.current().nextInt(PORT_COUNT);
 			try {
-				l.add(new ServerSocket(port, 1, InetAddress.getLoopbackAddress()));
+				sockets.add(new ServerSocket(port, 1, InetAddress.getLoopbackAddress()));
 			}
 			catch (BindException ex) {
-				// Taken; another one is drawn.
+				// The port is in use; the loop tries another one.
 			}
 		}
-		int[] ports = l.stream().mapToInt(ServerSocket::getLocalPort).toArray();
-		for (ServerSocket s : l) {
+		int[] ports = sockets.stream().mapToInt(ServerSocket::getLocalPort).toArray();
+		for (ServerSocket s : sockets) {
 			s.close();
 		}
 		return ports;
 	}
 
-	private synchronized void publish() {
+	private synchronized void publishConfiguration() {
 		StringBuilder routes = new StringBuilder();
-		for (Evidence.Kind k : Evidence.Kind.values()) {
+		for (InvariantChecker.RequestKind k : InvariantChecker.RequestKind.values()) {
 			routes.append((routes.length() > 0) ? "," : "")
 				.append("""
 						{"name":"%s","host":"127.0.0.1","prefix":"/%s/","kind":"%s","timeout_ms":%d,
 						"target_latency_ms":300,"priority":2,"service":"%s","max_attempts":2,"allow_resume":%s}"""
-					.formatted(k.path, k.path, k.stream ? "streaming" : k.path, k.stream ? 8_000 : 1_500,
-							k.stream ? "llm" : "plain", k == Evidence.Kind.RESUMABLE));
+					.formatted(k.route, k.route, k.stream ? "streaming" : k.route, k.stream ? 8_000 : 1_500,
+							k.stream ? "llm" : "plain", k == InvariantChecker.RequestKind.RESUMABLE_STREAM));
 		}
-		this.published = """
+		this.publishedConfig = """
 				{"version":%d,"tenants":[%s],"routes":[%s],"services":[
 				{"name":"plain","health_path":"/health","connection_limit":100},
 				{"name":"llm","health_path":"/health","connection_limit":100,"engine":{"slots":6,
 				"kv_cache_tokens":6000,"kv_token_bytes":10,"link_mbps":100,"kv_handle_s":0.5,"hold_ms":2000}}],
 				"limits":{"max_header_bytes":16384,"max_body_bytes":1000,"header_timeout_ms":3000,
-				"idle_timeout_ms":15000}}""".formatted(++this.version, this.keys.issue(), routes);
-		this.store.put("op/config", this.published);
-		this.keys.published(TimeUnit.NANOSECONDS.toMillis(System.nanoTime()));
+				"idle_timeout_ms":15000}}""".formatted(++this.configVersion, this.keys.issueTemporaryKey(), routes);
+		this.store.put("op/config", this.publishedConfig);
+		this.keys.onKeyPublished(TimeUnit.NANOSECONDS.toMillis(System.nanoTime()));
 	}
 
-	// The operator and the workers write what the store has lost.
-	private synchronized void writeAgain() {
-		this.store.put("op/config", this.published);
-		this.workers.forEach(SoakWorker::writeAgain);
+	// Rewrites the entries of the operator and the workers after a restore of the store.
+	private synchronized void rewriteLostEntries() {
+		this.store.put("op/config", this.publishedConfig);
+		this.workers.forEach(SoakWorker::rewriteEntries);
 	}
 
 	/**
-	 * Runs.
-	 * @return the promises that were broken; empty if all were kept
+	 * Runs the soak test for the seed.
+	 * @return the violated invariants; empty if all hold
 	 */
 	List<String> run() throws IOException, InterruptedException {
 		try {
 			for (VmProcess vm : this.vms) {
 				vm.start();
 			}
-			traffic();
-			if (!await(() -> served() > 0)) {
-				return List.of("RECOVER nothing was served after the start");
+			startCallers();
+			if (!await(() -> successCount() > 0)) {
+				return List.of("RECOVER no request was served after the start");
 			}
-			strike();
-			int before = served();
-			if (!await(() -> served() >= before + SERVED_AGAIN)) {
-				this.evidence.broken("RECOVER served=" + (served() - before) + " after the faults");
+			injectFaults();
+			int successesBefore = successCount();
+			if (!await(() -> successCount() >= successesBefore + RECOVERED_RESPONSES)) {
+				this.checker.addViolation("RECOVER served=" + (successCount() - successesBefore) + " after the faults");
 			}
 			this.callers.forEach(SoakCaller::stop);
-			leave();
-			return this.evidence.broken();
+			terminateVms();
+			return this.checker.violations();
 		}
 		finally {
 			stop();
@@ -158,12 +159,12 @@
 	}
 
 	String summary() {
-		return this.evidence.summary() + " served=" + served();
+		return this.checker.summary() + " served=" + successCount();
 	}
 
-	private void traffic() {
+	private void startCallers() {
 		for (int i = 0; i < CALLERS; i++) {
-			SoakCaller c = new SoakCaller(i, this.seed, this.vms, this.evidence, this.keys);
+			SoakCaller c = new SoakCaller(i, this.seed, this.vms, this.checker, this.keys);
 			this.callers.add(c);
 			Thread t = new Thread(c, "caller-" + i);
 			t.setDaemon(true);
@@ -171,47 +172,47 @@
 		}
 	}
 
-	private int served() {
-		return this.callers.stream().mapToInt(SoakCaller::served).sum();
+	private int successCount() {
+		return this.callers.stream().mapToInt(SoakCaller::successCount).sum();
 	}
 
-	private static boolean await(BooleanSupplier done) throws InterruptedException {
-		long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(RECOVERY_S);
-		while (!done.getAsBoolean() && System.nanoTime() < end) {
+	private static boolean await(BooleanSupplier condition) throws InterruptedException {
+		long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(RECOVERY_TIMEOUT_S);
+		while (!condition.getAsBoolean() && System.nanoTime() < end) {
 			Thread.sleep(50);
 		}
-		return done.getAsBoolean();
+		return condition.getAsBoolean();
 	}
 
-	private void strike() throws InterruptedException {
-		long begin = System.nanoTime();
-		for (Fault f : FaultPlan.of(this.seed, this.lengthMs, this.vms.size(), this.workers.size())) {
-			long wait = f.atMs() - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begin);
-			Thread.sleep(Math.max(0, wait));
+	private void injectFaults() throws InterruptedException {
+		long start = System.nanoTime();
+		for (Fault f : FaultPlan.plan(this.seed, this.lengthMs, this.vms.size(), this.workers.size())) {
+			long delayMs = f.atMs() - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
+			Thread.sleep(Math.max(0, delayMs));
 			System.out.println("[soak] at-ms=" + f.atMs() + " " + f);
-			this.faults.execute(() -> strike(f));
+			this.faultExecutor.execute(() -> inject(f));
 		}
-		this.faults.shutdown();
-		if (!this.faults.awaitTermination(RECOVERY_S, TimeUnit.SECONDS)) {
-			this.evidence.broken("soak: faults did not end");
+		this.faultExecutor.shutdown();
+		if (!this.faultExecutor.awaitTermination(RECOVERY_TIMEOUT_S, TimeUnit.SECONDS)) {
+			this.checker.addViolation("soak: fault injection did not end");
 		}
 	}
 
-	private void strike(Fault f) {
+	private void inject(Fault f) {
 		try {
-			this.injector.strike(f);
+			this.injector.inject(f);
 		}
 		catch (IOException | InterruptedException ex) {
-			this.evidence.broken("soak: " + f + " could not be made: " + ex);
+			this.checker.addViolation("soak: " + f + " could not be injected: " + ex);
 		}
 	}
 
-	// All VMs end in their time when they are told to, and by themselves.
-	private void leave() throws IOException, InterruptedException {
+	// Each VM must exit by itself within its grace period after SIGTERM.
+	private void terminateVms() throws IOException, InterruptedException {
 		for (VmProcess vm : this.vms) {
-			int code = vm.leave();
-			if (code != 0) {
-				this.evidence.broken("LEAVE vm=" + vm.callers() + " code=" + code);
+			int exitCode = vm.terminate();
+			if (exitCode != 0) {
+				this.checker.addViolation("LEAVE vm=" + vm.callerAddress() + " code=" + exitCode);
 			}
 		}
 	}
@@ -219,7 +220,7 @@
 	private void stop() throws IOException, InterruptedException {
 		this.callers.forEach(SoakCaller::stop);
 		for (VmProcess vm : this.vms) {
-			if (vm.alive()) {
+			if (vm.isAlive()) {
 				vm.kill();
 			}
 		}
--- a/src/test/java/io/shallotspur/platform/soak/SoakWorker.java
+++ b/src/test/java/io/shallotspur/platform/soak/SoakWorker.java
@@ -27,22 +27,22 @@
 import io.shallotspur.platform.FakeStore;
 
 /**
- * A stand-in for a worker that keeps the platform's protocol: places, reservations, KV
- * caches, orders, incarnations. It writes down what it runs. Thread-safe.
+ * A fake worker that implements the platform's protocol, with slots, reservations, KV
+ * caches, orders and incarnations, and records the requests that it runs. Thread-safe.
  */
 final class SoakWorker {
 
-	static final int EVENTS = 12;
+	static final int EVENT_COUNT = 12;
 
 	private static final int SLOTS = 6;
 
-	private static final Duration STEP = Duration.ofMillis(25);
+	private static final Duration EVENT_INTERVAL = Duration.ofMillis(25);
 
-	private static final Duration PREFILL = Duration.ofMillis(40);
+	private static final Duration PREFILL_TIME = Duration.ofMillis(40);
 
-	private static final Duration SWITCH = Duration.ofMillis(900);
+	private static final Duration STAGE_CHANGE_TIME = Duration.ofMillis(900);
 
-	private static final Duration LEAVES = Duration.ofMillis(3_500);
+	private static final Duration DRAIN_TIME = Duration.ofMillis(3_500);
 
 	private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -52,50 +52,51 @@
 
 	private final FakeStore store;
 
-	private final Evidence evidence;
+	private final InvariantChecker checker;
 
 	private final LoopbackProxy proxy;
 
-	// Which request a KV cache belongs to, over all workers.
+	// The request that each KV cache belongs to; shared by all workers.
 	private final Map<String, String> caches;
 
-	private final AtomicInteger incarnation = new AtomicInteger();
+	private final AtomicInteger incarnationCount = new AtomicInteger();
 
-	private volatile Life life;
+	private volatile Incarnation current;
 
-	// Entries that were removed; a store that comes back from a copy may have them again.
-	private final Set<String> removed = ConcurrentHashMap.newKeySet();
+	// Keys of removed entries, which a restore of the store from a snapshot may bring
+	// back.
+	private final Set<String> removedKeys = ConcurrentHashMap.newKeySet();
 
-	SoakWorker(String upstream, int number, String stage, FakeStore store, Evidence evidence,
+	SoakWorker(String upstream, int number, String stage, FakeStore store, InvariantChecker checker,
 			Map<String, String> caches) throws IOException {
 		this.upstream = upstream;
 		this.number = number;
 		this.store = store;
-		this.evidence = evidence;
+		this.checker = checker;
 		this.caches = caches;
-		this.life = new Life(stage);
-		this.proxy = new LoopbackProxy(this.life.server.port());
+		this.current = new Incarnation(stage);
+		this.proxy = new LoopbackProxy(this.current.server.port());
 		register("ready");
 	}
 
-	static String plain(String id, String worker) {
+	static String plainResponse(String id, String worker) {
 		return "plain answer to " + id + " by " + worker;
 	}
 
-	static String stream(String id, int after) {
-		return IntStream.rangeClosed(after + 1, EVENTS)
+	static String eventStream(String id, int after) {
+		return IntStream.rangeClosed(after + 1, EVENT_COUNT)
 			.mapToObj((i) -> "id: " + i + "\ndata: " + id + " " + i + "\n\n")
 			.collect(Collectors.joining());
 	}
 
 	/**
-	 * The worker names a limit from now on, or none; one that starts again names none.
-	 * @param perSecond requests a second; infinite for none
+	 * Sets or removes the rate limit that the worker sends. A restart removes it.
+	 * @param perSecond the limit in requests per second; infinite for none
 	 */
-	synchronized void limit(double perSecond) {
-		Life l = this.life;
-		l.limitPerS = perSecond;
-		this.evidence.limited(l.id, perSecond, Evidence.nowMs());
+	synchronized void setRateLimit(double perSecond) {
+		Incarnation incarnation = this.current;
+		incarnation.limitPerS = perSecond;
+		this.checker.onRateLimitChanged(incarnation.id, perSecond, InvariantChecker.nowMs());
 	}
 
 	LoopbackProxy proxy() {
@@ -103,99 +104,99 @@
 	}
 
 	/**
-	 * The worker dies and comes back at once as another incarnation; the entry of the
-	 * former one lapses later.
+	 * Crashes the worker and restarts it immediately as a new incarnation. The entry of
+	 * the old incarnation expires later.
 	 */
 	synchronized void crash() {
-		Life old = this.life;
+		Incarnation old = this.current;
 		old.server.disposeNow();
 		this.proxy.reset();
-		revive(old);
-		Mono.delay(Duration.ofMillis(1_500), Schedulers.boundedElastic()).subscribe((t) -> remove(old));
+		restart(old);
+		Mono.delay(Duration.ofMillis(1_500), Schedulers.boundedElastic()).subscribe((t) -> deregister(old));
 	}
 
 	/**
-	 * The worker says that it leaves, goes on for two seconds and some more, and is
-	 * replaced.
+	 * Drains the worker: it announces that it is draining, keeps serving for longer than
+	 * the two seconds in which it may still receive requests, and is then replaced.
 	 */
 	synchronized void drain() {
-		Life old = this.life;
-		old.leaves = true;
+		Incarnation old = this.current;
+		old.draining = true;
 		register("draining");
-		old.leftAtMs = Evidence.nowMs();
-		Mono.delay(LEAVES, Schedulers.boundedElastic()).subscribe((t) -> {
-			remove(old);
+		old.drainingSinceMs = InvariantChecker.nowMs();
+		Mono.delay(DRAIN_TIME, Schedulers.boundedElastic()).subscribe((t) -> {
+			deregister(old);
 			old.server.disposeNow();
-			revive(old);
+			restart(old);
 		});
 	}
 
-	private void remove(Life l) {
-		this.removed.add(l.key());
-		this.store.remove(l.key());
+	private void deregister(Incarnation incarnation) {
+		this.removedKeys.add(incarnation.key());
+		this.store.remove(incarnation.key());
 	}
 
-	synchronized void writeAgain() {
-		this.removed.forEach(this.store::remove);
-		register(this.life.leaves ? "draining" : "ready");
+	synchronized void rewriteEntries() {
+		this.removedKeys.forEach(this.store::remove);
+		register(this.current.draining ? "draining" : "ready");
 	}
 
-	private synchronized void revive(Life old) {
-		if (this.life == old) {
-			this.life = new Life(old.first);
-			this.proxy.target(this.life.server.port());
+	private synchronized void restart(Incarnation old) {
+		if (this.current == old) {
+			this.current = new Incarnation(old.initialStage);
+			this.proxy.targetPort(this.current.server.port());
 			register("ready");
 		}
 	}
 
 	synchronized void register(String state) {
-		this.store.put(this.life.key(),
+		this.store.put(this.current.key(),
 				"""
 						{"service":"%s","address":"127.0.0.1:%d","zone":"hall-%d","version":"v1","slots":%d,"state":"%s",
 						"cold_remaining_ms":0,%s"models":[],"sequence_number":1}"""
 					.formatted(this.upstream, this.proxy.port(), this.number % 2, SLOTS, state,
-							this.life.stage.isEmpty() ? "" : "\"stage\":\"" + this.life.stage + "\","));
+							this.current.stage.isEmpty() ? "" : "\"stage\":\"" + this.current.stage + "\","));
 	}
 
 	void stop() {
-		this.life.server.disposeNow();
+		this.current.server.disposeNow();
 		this.proxy.stop();
 	}
 
 	/**
-	 * One incarnation.
+	 * One incarnation of the worker.
 	 */
-	private final class Life {
+	private final class Incarnation {
 
 		private final String id = SoakWorker.this.upstream + "-" + SoakWorker.this.number + "-"
-				+ SoakWorker.this.incarnation.incrementAndGet();
+				+ SoakWorker.this.incarnationCount.incrementAndGet();
 
-		private final String first;
+		private final String initialStage;
 
-		private final Map<String, Boolean> holds = new ConcurrentHashMap<>();
+		private final Map<String, Boolean> reservations = new ConcurrentHashMap<>();
 
-		private final AtomicInteger busy = new AtomicInteger();
+		private final AtomicInteger runningRequests = new AtomicInteger();
 
-		private final AtomicLong names = new AtomicLong();
+		private final AtomicLong sequence = new AtomicLong();
 
-		private final AtomicLong fence = new AtomicLong();
+		private final AtomicLong highestFencingToken = new AtomicLong();
 
-		private final AtomicInteger orders = new AtomicInteger();
+		private final AtomicInteger acceptedOrders = new AtomicInteger();
 
 		private final DisposableServer server;
 
 		private volatile String stage;
 
-		private volatile boolean switching;
+		private volatile boolean changingStage;
 
-		private volatile boolean leaves;
+		private volatile boolean draining;
 
 		private volatile double limitPerS = Double.POSITIVE_INFINITY;
 
-		private volatile long leftAtMs = Long.MAX_VALUE;
+		private volatile long drainingSinceMs = Long.MAX_VALUE;
 
-		private Life(String stage) {
-			this.first = stage;
+		private Incarnation(String stage) {
+			this.initialStage = stage;
 			this.stage = stage;
 			this.server = HttpServer.create().host("127.0.0.1").port(0).handle(this::handle).bindNow();
 		}
@@ -209,10 +210,10 @@
 				.aggregate()
 				.asString()
 				.defaultIfEmpty("")
-				.flatMap((body) -> Mono.from(answer(q, s, body)));
+				.flatMap((body) -> Mono.from(respond(q, s, body)));
 		}
 
-		private Publisher<Void> answer(HttpServerRequest q, HttpServerResponse s, String body) {
+		private Publisher<Void> respond(HttpServerRequest q, HttpServerResponse s, String body) {
 			HttpHeaders h = q.requestHeaders();
 			s.header("X-Request-Id", h.get("X-Request-Id", ""));
 			if (!h.get("X-Expect-Instance", this.id).equals(this.id)) {
@@ -222,16 +223,16 @@
 				s.header("Server-Limit", Double.toString(this.limitPerS));
 			}
 			if (q.uri().startsWith("/api/")) {
-				return call(q, s, body);
+				return handleControlCall(q, s, body);
 			}
 			String id = h.get("X-Request-Id", "");
 			if (this.stage.isEmpty()) {
-				return plainRun(id, h, s);
+				return runPlain(id, h, s);
 			}
-			if (this.switching) {
-				return full(s);
+			if (this.changingStage) {
+				return rejectAsFull(s);
 			}
-			SoakWorker.this.evidence.reached(id, this.id, this.leftAtMs, Evidence.nowMs());
+			SoakWorker.this.checker.onRequestReceived(id, this.id, this.drainingSinceMs, InvariantChecker.nowMs());
 			boolean prefill = "prefill".equals(h.get("X-Stage"));
 			if (prefill != this.stage.equals("prefill")) {
 				return s.status(421).send();
@@ -239,23 +240,23 @@
 			return prefill ? prefill(id, s) : decode(id, h, s);
 		}
 
-		private Publisher<Void> call(HttpServerRequest q, HttpServerResponse s, String body) {
+		private Publisher<Void> handleControlCall(HttpServerRequest q, HttpServerResponse s, String body) {
 			if (q.uri().equals("/api/hold-take")) {
-				boolean free = !this.switching && this.holds.size() + this.busy.get() < SLOTS;
-				if (!free || !this.stage.equals("decode")) {
+				boolean slotFree = !this.changingStage && this.reservations.size() + this.runningRequests.get() < SLOTS;
+				if (!slotFree || !this.stage.equals("decode")) {
 					return s.status(503).send();
 				}
-				String hold = "h" + this.names.incrementAndGet();
-				this.holds.put(hold, true);
-				Mono.delay(Duration.ofSeconds(2)).subscribe((t) -> this.holds.remove(hold));
-				return s.sendString(Mono.just("{\"hold\":\"" + hold + "\"}"));
+				String reservation = "h" + this.sequence.incrementAndGet();
+				this.reservations.put(reservation, true);
+				Mono.delay(Duration.ofSeconds(2)).subscribe((t) -> this.reservations.remove(reservation));
+				return s.sendString(Mono.just("{\"hold\":\"" + reservation + "\"}"));
 			}
 			if (q.uri().startsWith("/api/hold-drop/")) {
-				this.holds.remove(q.uri().substring("/api/hold-drop/".length()));
+				this.reservations.remove(q.uri().substring("/api/hold-drop/".length()));
 			}
 			if (q.uri().equals("/api/report")) {
 				return s.sendString(Mono.just("{\"stage\":\"%s\",\"busy\":%s,\"sequence_number\":%d}"
-					.formatted(this.stage, this.switching, this.orders.get())));
+					.formatted(this.stage, this.changingStage, this.acceptedOrders.get())));
 			}
 			return q.uri().equals("/api/order") ? order(s, body) : s.send();
 		}
@@ -263,23 +264,23 @@
 		private synchronized Publisher<Void> order(HttpServerResponse s, String body) {
 			try {
 				JsonNode n = JSON.readTree(body);
-				long f = n.path("fencing_token").asLong();
-				if (f < this.fence.get()) {
+				long fencingToken = n.path("fencing_token").asLong();
+				if (fencingToken < this.highestFencingToken.get()) {
 					return s.status(412).send();
 				}
-				if (this.switching || n.path("expected").asLong() != this.orders.get()) {
+				if (this.changingStage || n.path("expected").asLong() != this.acceptedOrders.get()) {
 					return s.status(409).send();
 				}
-				this.fence.set(f);
-				this.orders.incrementAndGet();
-				this.switching = true;
-				SoakWorker.this.evidence.ordered(this.id, f);
-				String next = n.path("stage").asText();
-				Mono.delay(SWITCH).subscribe((t) -> {
-					this.stage = next;
-					this.switching = false;
-					if (SoakWorker.this.life == this) {
-						register(this.leaves ? "draining" : "ready");
+				this.highestFencingToken.set(fencingToken);
+				this.acceptedOrders.incrementAndGet();
+				this.changingStage = true;
+				SoakWorker.this.checker.onOrderAccepted(this.id, fencingToken);
+				String nextStage = n.path("stage").asText();
+				Mono.delay(STAGE_CHANGE_TIME).subscribe((t) -> {
+					this.stage = nextStage;
+					this.changingStage = false;
+					if (SoakWorker.this.current == this) {
+						register(this.draining ? "draining" : "ready");
 					}
 				});
 				return s.status(202).send();
@@ -289,29 +290,29 @@
 			}
 		}
 
-		private Publisher<Void> full(HttpServerResponse s) {
+		private Publisher<Void> rejectAsFull(HttpServerResponse s) {
 			return s.status(503).header("X-Not-Executed", "1").send();
 		}
 
-		private Publisher<Void> plainRun(String id, HttpHeaders h, HttpServerResponse s) {
-			if (this.busy.incrementAndGet() > SLOTS) {
-				this.busy.decrementAndGet();
-				return full(s);
+		private Publisher<Void> runPlain(String id, HttpHeaders h, HttpServerResponse s) {
+			if (this.runningRequests.incrementAndGet() > SLOTS) {
+				this.runningRequests.decrementAndGet();
+				return rejectAsFull(s);
 			}
-			SoakWorker.this.evidence.reached(id, this.id, this.leftAtMs, Evidence.nowMs());
-			SoakWorker.this.evidence.run(id, this.id);
-			SoakWorker.this.evidence.ranFor(id, h.get("X-Tenant"), h.get("Authorization"));
+			SoakWorker.this.checker.onRequestReceived(id, this.id, this.drainingSinceMs, InvariantChecker.nowMs());
+			SoakWorker.this.checker.onRequestStarted(id, this.id);
+			SoakWorker.this.checker.onCredentialsReceived(id, h.get("X-Tenant"), h.get("Authorization"));
 			return Mono.delay(Duration.ofMillis(5 + Math.floorMod(id.hashCode(), 60)))
-				.doFinally((x) -> this.busy.decrementAndGet())
+				.doFinally((x) -> this.runningRequests.decrementAndGet())
 				.then(Mono.defer(() -> Mono.from(s.header("X-Server-Stamp", "stamp-" + this.id)
-					.header("X-Server-Load", this.busy.get() + ",0," + SLOTS)
-					.sendString(Mono.just(plain(id, this.id))))));
+					.header("X-Server-Load", this.runningRequests.get() + ",0," + SLOTS)
+					.sendString(Mono.just(plainResponse(id, this.id))))));
 		}
 
 		private Publisher<Void> prefill(String id, HttpServerResponse s) {
-			String handle = this.id + "-" + this.names.incrementAndGet();
+			String handle = this.id + "-" + this.sequence.incrementAndGet();
 			SoakWorker.this.caches.put(handle, id);
-			return Mono.delay(PREFILL)
+			return Mono.delay(PREFILL_TIME)
 				.then(Mono.defer(() -> Mono.from(s
 					.sendString(Mono.just("{\"kv_handle\":\"%s\",\"tokens\":1,\"version\":1}".formatted(handle))))));
 		}
@@ -319,28 +320,28 @@
 		private Publisher<Void> decode(String id, HttpHeaders h, HttpServerResponse s) {
 			String source = h.get("X-Kv-Source");
 			if (source != null) {
-				String of = SoakWorker.this.caches.remove(source.substring(source.indexOf('/') + 1));
-				if (of == null) {
-					return full(s);
+				String cachedRequest = SoakWorker.this.caches.remove(source.substring(source.indexOf('/') + 1));
+				if (cachedRequest == null) {
+					return rejectAsFull(s);
 				}
-				if (!of.equals(id)) {
-					SoakWorker.this.evidence.broken("MIXED id=" + id + " goes on from the cache of " + of);
+				if (!cachedRequest.equals(id)) {
+					SoakWorker.this.checker.addViolation("MIXED id=" + id + " used the KV cache of " + cachedRequest);
 				}
 			}
 			if (h.get("X-Hold") != null) {
-				this.holds.remove(h.get("X-Hold"));
+				this.reservations.remove(h.get("X-Hold"));
 			}
-			if (this.busy.incrementAndGet() > SLOTS) {
-				this.busy.decrementAndGet();
-				return full(s);
+			if (this.runningRequests.incrementAndGet() > SLOTS) {
+				this.runningRequests.decrementAndGet();
+				return rejectAsFull(s);
 			}
-			SoakWorker.this.evidence.run(id, this.id);
-			SoakWorker.this.evidence.ranFor(id, h.get("X-Tenant"), h.get("Authorization"));
+			SoakWorker.this.checker.onRequestStarted(id, this.id);
+			SoakWorker.this.checker.onCredentialsReceived(id, h.get("X-Tenant"), h.get("Authorization"));
 			int after = Integer.parseInt(h.get("Last-Event-Id", "0"));
-			Flux<String> events = Flux.range(after + 1, EVENTS - after)
-				.delayElements(STEP)
+			Flux<String> events = Flux.range(after + 1, EVENT_COUNT - after)
+				.delayElements(EVENT_INTERVAL)
 				.map((i) -> "id: " + i + "\ndata: " + id + " " + i + "\n\n")
-				.doFinally((x) -> this.busy.decrementAndGet());
+				.doFinally((x) -> this.runningRequests.decrementAndGet());
 			return s.header("X-Server-Stamp", "stamp-" + this.id)
 				.header("Content-Type", "text/event-stream")
 				.send(events.map((e) -> Unpooled.copiedBuffer(e, StandardCharsets.UTF_8)), (b) -> true);
--- a/src/test/java/io/shallotspur/platform/soak/VmProcess.java
+++ b/src/test/java/io/shallotspur/platform/soak/VmProcess.java
@@ -9,21 +9,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An entry VM as a process of its own. Not thread-safe; only its own process is
- * signalled, by its id.
+ * An entry VM that runs as a separate process. Sends signals only to that process, by its
+ * process id. Not thread-safe.
  */
 final class VmProcess {
 
-	// The platform kills what has not ended after this time, and so does this, s.
-	static final int GRACE_S = 8;
+	// In s. The platform kills a VM that has not exited after this time, and so does this
+	// class.
+	static final int TERMINATION_GRACE_S = 8;
 
-	private static final int ENDED_BY_TERM = 128 + 15;
+	private static final int SIGTERM_EXIT_CODE = 128 + 15;
 
-	// A harness that is ended itself leaves none of its processes behind.
-	private static final Set<Process> STARTED = ConcurrentHashMap.newKeySet();
+	// Killed when this JVM exits, so that no processes are left behind.
+	private static final Set<Process> RUNNING = ConcurrentHashMap.newKeySet();
 
 	static {
-		Runtime.getRuntime().addShutdownHook(new Thread(() -> STARTED.forEach(Process::destroyForcibly)));
+		Runtime.getRuntime().addShutdownHook(new Thread(() -> RUNNING.forEach(Process::destroyForcibly)));
 	}
 
 	private final int number;
@@ -32,23 +33,23 @@
 
 	private final int[] ports;
 
-	private final int store;
+	private final int storePort;
 
 	private Process process;
 
 	private boolean paused;
 
-	// How much of the log was written before the last start, characters.
-	private int logged;
+	// Length of the log before the last start, in characters.
+	private int logOffset;
 
-	VmProcess(int number, Path dir, int[] ports, int store) {
+	VmProcess(int number, Path dir, int[] ports, int storePort) {
 		this.number = number;
 		this.dir = dir;
 		this.ports = ports.clone();
-		this.store = store;
+		this.storePort = storePort;
 	}
 
-	String callers() {
+	String callerAddress() {
 		return "127.0.0.1:" + this.ports[0];
 	}
 
@@ -59,15 +60,15 @@
 	void start() throws IOException {
 		Path settings = this.dir.resolve("vm-" + this.number + ".toml");
 		Files.writeString(settings, settings());
-		this.logged = Files.exists(log()) ? Files.readString(log()).length() : 0;
+		this.logOffset = Files.exists(log()) ? Files.readString(log()).length() : 0;
 		this.process = new ProcessBuilder(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
 				"-Xmx96m", "-Xss256k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-jar", "target/shallotspur.jar",
 				"platform", "--settings", settings.toString()))
 			.redirectErrorStream(true)
 			.redirectOutput(ProcessBuilder.Redirect.appendTo(log().toFile()))
 			.start();
-		STARTED.add(this.process);
-		this.process.onExit().thenAccept(STARTED::remove);
+		RUNNING.add(this.process);
+		this.process.onExit().thenAccept(RUNNING::remove);
 	}
 
 	private String settings() {
@@ -96,10 +97,10 @@
 				level = "info"
 				lines_per_s = 1000
 				""".formatted(this.number, this.number % 2, this.ports[0], this.ports[1], this.ports[2], this.ports[3],
-				this.store, GRACE_S, SoakKeys.REVOKED_MS);
+				this.storePort, TERMINATION_GRACE_S, SoakKeys.REVOKED_KEY_GRACE_MS);
 	}
 
-	boolean alive() {
+	boolean isAlive() {
 		return this.process != null && this.process.isAlive();
 	}
 
@@ -109,38 +110,39 @@
 	}
 
 	void pause() throws IOException, InterruptedException {
-		if (alive()) {
+		if (isAlive()) {
 			this.paused = true;
 			signal("-STOP");
 		}
 	}
 
 	void resume() throws IOException, InterruptedException {
-		if (this.paused && alive()) {
+		if (this.paused && isAlive()) {
 			signal("-CONT");
 		}
 		this.paused = false;
 	}
 
 	/**
-	 * Tells the process to end, and waits until it has.
-	 * @return its exit code; -1 if it had to be killed
+	 * Sends SIGTERM to the process and waits until it exits.
+	 * @return the exit code, or 0 if the signal ended the JVM during startup; -1 if the
+	 * process had to be killed
 	 */
-	int leave() throws IOException, InterruptedException {
+	int terminate() throws IOException, InterruptedException {
 		resume();
 		this.process.destroy();
-		if (this.process.waitFor(GRACE_S, TimeUnit.SECONDS)) {
-			return endedWhileStarting() ? 0 : this.process.exitValue();
+		if (this.process.waitFor(TERMINATION_GRACE_S, TimeUnit.SECONDS)) {
+			return terminatedDuringStartup() ? 0 : this.process.exitValue();
 		}
 		kill();
 		return -1;
 	}
 
-	// A signal in the first moments of a start ends the Java runtime by itself, before
-	// the program has opened a socket.
-	private boolean endedWhileStarting() throws IOException {
-		String since = Files.readString(log()).substring(this.logged);
-		return this.process.exitValue() == ENDED_BY_TERM && !since.contains("[run] started");
+	// A SIGTERM early during startup ends the JVM with status 143 before the program has
+	// opened a socket.
+	private boolean terminatedDuringStartup() throws IOException {
+		String newOutput = Files.readString(log()).substring(this.logOffset);
+		return this.process.exitValue() == SIGTERM_EXIT_CODE && !newOutput.contains("[run] started");
 	}
 
 	private Path log() {
--- a/src/test/java/io/shallotspur/platform/soak/package-info.java
+++ b/src/test/java/io/shallotspur/platform/soak/package-info.java
@@ -1,5 +1,6 @@
 /**
- * A randomized soak of the real program: several entry VMs as processes on loopback,
- * before stand-ins of the platform's store and of workers, behind proxies that fail.
+ * A randomized soak test of the packaged program: several entry VMs run as processes on
+ * the loopback interface against fakes of the platform's store and workers, with proxies
+ * in between that inject network faults.
  */
 package io.shallotspur.platform.soak;
