--- a/src/main/java/io/shallotspur/stage/StageChangeTask.java
+++ b/src/main/java/io/shallotspur/stage/StageChangeTask.java
@@ -24,7 +24,8 @@
  */
 final class StageChangeTask {
 
-	// In ms. A worker needs some seconds after its last request; each call is billed.
+	// In ms. A worker changes stage some seconds after its last request, and each call is
+	// billed, so it is not polled more often.
 	private static final long POLL_MS = 1_500;
 
 	// In ms. Running requests of up to 14 s are completed before the stage changes.
--- a/src/main/java/io/shallotspur/stage/StagePlanner.java
+++ b/src/main/java/io/shallotspur/stage/StagePlanner.java
@@ -5,7 +5,8 @@
  * <p>
  * The platform starts a fixed fraction of the workers as prefill workers, regardless of
  * the traffic. Under a sustained load of long responses, requests then fill the memory of
- * the decode workers and wait there while prefill workers are idle.
+ * the decode workers and wait there while prefill workers are idle. The planner moves
+ * workers to the stage that limits the throughput.
  */
 final class StagePlanner {
 
@@ -19,8 +20,7 @@
 	private static final double LENGTH_VARIATION = 0.5;
 
 	// A worker is unavailable for seconds while it changes stage and may be needed back
-	// later, so costPerMove move must gain at least this fraction of the mean throughput
-	// per
+	// later, so each move must gain at least this fraction of the mean throughput per
 	// worker.
 	private static final double MIN_GAIN_PER_MOVE = 0.5;
 
@@ -45,7 +45,7 @@
 	 * @param throughput the throughput model of the upstream
 	 * @param requiredGain the throughput gain that a new split must reach, as a fraction
 	 * @return the planned number of prefill workers: the current number unless another
-	 * split reaches the required gain; at least one worker remains in costPerMove stage
+	 * split reaches the required gain; at least one worker remains in each stage
 	 */
 	static int prefillWorkers(int prefill, int decode, ThroughputModel throughput, double requiredGain) {
 		int best = bestPrefillWorkers(prefill, decode, throughput);
--- a/src/main/java/io/shallotspur/stage/StageRebalancer.java
+++ b/src/main/java/io/shallotspur/stage/StageRebalancer.java
@@ -182,8 +182,8 @@
 	}
 
 	// Prefers workers of the halls with the most surplus in the source stage, so that
-	// each
-	// hall keeps workers of both stages and KV caches are not transferred between halls.
+	// each hall keeps workers of both stages and KV caches are not transferred between
+	// halls.
 	private void startChanges(List<WorkerInfo> from, List<WorkerInfo> to, int n, WorkerStage stage, long now) {
 		List<WorkerInfo> remaining = new ArrayList<>(from);
 		for (int i = 0; i < n; i++) {
--- a/src/test/java/io/shallotspur/platform/soak/FaultPlan.java
+++ b/src/test/java/io/shallotspur/platform/soak/FaultPlan.java
@@ -21,8 +21,7 @@
 	}
 
 	// Uses a random generator of its own, so that the other faults of a seed do not
-	// change.
-	// A second restore may follow before the system has recovered from the first.
+	// change. A second restore may follow before the system has recovered from the first.
 	private static List<Fault> planRestores(long seed, long lengthMs) {
 		Random r = new Random(~seed);
 		List<Fault> l = new ArrayList<>();
--- a/src/test/java/io/shallotspur/platform/soak/InvariantChecker.java
+++ b/src/test/java/io/shallotspur/platform/soak/InvariantChecker.java
@@ -18,11 +18,11 @@
 
 	private static final Set<Integer> NOT_EXECUTED_STATUSES = Set.of(408, 421, 429, 503);
 
-	// In ms. A draining worker must not receive requests later than this.
+	// In ms. A worker must not receive requests later than this after it starts draining.
 	private static final long DRAIN_DEADLINE_MS = 2_000;
 
-	// In ms. Deadlines are checked only if no disturbance of the VMs or the store ended
-	// within this time.
+	// In ms. The drain deadline is checked only if no disturbance of the VMs or the store
+	// ended within this time before the drain started.
 	private static final long RECOVERY_MS = 3_000;
 
 	private final AtomicInteger activeDisturbances = new AtomicInteger();
--- a/src/test/java/io/shallotspur/platform/soak/RateLimitedWorker.java
+++ b/src/test/java/io/shallotspur/platform/soak/RateLimitedWorker.java
@@ -27,7 +27,7 @@
 
 	private static final int ALLOWED_BURST = 5;
 
-	private final double perSecond;
+	private final double limitPerSecond;
 
 	private final long limitedSinceMs;
 
@@ -35,8 +35,8 @@
 
 	private final Deque<ReceivedRequest> recentRequests = new ArrayDeque<>();
 
-	RateLimitedWorker(double perSecond, long limitedSinceMs) {
-		this.perSecond = perSecond;
+	RateLimitedWorker(double limitPerSecond, long limitedSinceMs) {
+		this.limitPerSecond = limitPerSecond;
 		this.limitedSinceMs = limitedSinceMs;
 	}
 
@@ -65,7 +65,7 @@
 		}
 		this.recentRequests.addLast(new ReceivedRequest(vm, nowMs));
 		this.recentRequests.removeIf((r) -> r.atMs() <= nowMs - WINDOW_MS);
-		double max = TOLERANCE * this.perSecond * WINDOW_MS / 1_000 + ALLOWED_BURST;
+		double max = TOLERANCE * this.limitPerSecond * WINDOW_MS / 1_000 + ALLOWED_BURST;
 		int n = this.recentRequests.size();
 		return (n > max) ? Optional.of("received=" + n + " max=" + max) : Optional.empty();
 	}
--- a/src/test/java/io/shallotspur/platform/soak/SoakCaller.java
+++ b/src/test/java/io/shallotspur/platform/soak/SoakCaller.java
@@ -135,8 +135,7 @@
 		}
 		catch (IOException ex) {
 			// The connection failed or was closed early. No invariant applies to a
-			// request
-			// without a complete response.
+			// request without a complete response.
 			this.addressesExpireAt = 0;
 		}
 	}
--- a/src/test/java/io/shallotspur/stage/StageRebalancerTests.java
+++ b/src/test/java/io/shallotspur/stage/StageRebalancerTests.java
@@ -43,7 +43,7 @@
 
 	private static final String SELF_KEY = "vms/me";
 
-	private static final long FENCE = 40;
+	private static final long FENCING_TOKEN = 40;
 
 	// In ms. A standby VM batches changes for 1 s, and a slow store adds to that.
 	private static final long STANDBY_FETCH_MS = 1_200;
@@ -72,7 +72,7 @@
 				this.timer::now);
 		StageRebalancer rebalancer = new StageRebalancer("vm-1", this.gateway, leadership, this.port, this.timer,
 				this.timer::now, CHANGE_DEADLINES.propagationMs());
-		this.registry.leader = new RegistryChange.LeaderElected(SELF_KEY, new StorePosition(0, FENCE));
+		this.registry.leader = new RegistryChange.LeaderElected(SELF_KEY, new StorePosition(0, FENCING_TOKEN));
 		this.registry.listings.add(new RegistryUpdate(new StorePosition(0, 50), listing()));
 		this.watcher.setOwnRegistration(SELF_KEY, () -> {
 		});
@@ -93,7 +93,7 @@
 		List<RegistryChange> l = new ArrayList<>();
 		l.add(new RegistryChange.ConfigUpdated(
 				new RouteTable(1, List.of(), List.of(new UpstreamSpec("llm", 100, engine)), IngressLimits.DEFAULT)));
-		l.add(new RegistryChange.LeaderElected(SELF_KEY, new StorePosition(0, FENCE)));
+		l.add(new RegistryChange.LeaderElected(SELF_KEY, new StorePosition(0, FENCING_TOKEN)));
 		for (String hall : List.of("a", "b", "c")) {
 			l.add(new RegistryChange.WorkerUpdated(worker("p-" + hall, hall, WorkerStage.PREFILL)));
 			l.add(new RegistryChange.WorkerUpdated(worker("d-" + hall, hall, WorkerStage.DECODE)));
@@ -114,7 +114,7 @@
 		StageOrder o = this.port.orders.get(0);
 		Assertions.assertThat(o.stage()).isEqualTo(WorkerStage.DECODE);
 		Assertions.assertThat(o.worker().stage()).isEqualTo(WorkerStage.PREFILL);
-		Assertions.assertThat(o.fencingToken()).isEqualTo(FENCE);
+		Assertions.assertThat(o.fencingToken()).isEqualTo(FENCING_TOKEN);
 		Assertions.assertThat(o.holder()).isEqualTo("vm-1");
 		Assertions.assertThat(this.registry.announcedStages).isEqualTo(Map.of(o.worker().id(), WorkerStage.DECODE));
 		this.port.completeChange(o.worker().id(), WorkerStage.DECODE);
@@ -124,9 +124,8 @@
 	}
 
 	// Standby VMs fetch changes seconds later. A VM that has not received the
-	// announcement
-	// keeps sending prompts to the worker, which rejects them, and some routes allow no
-	// second attempt.
+	// announcement keeps sending prompts to the worker, which rejects them, and some
+	// routes allow no second attempt.
 	@Test
 	void sendsOrderAfterAnnouncementHasReachedAllVms() {
 		advanceUntil(() -> !this.registry.announcedStages.isEmpty());
@@ -182,8 +181,7 @@
 	}
 
 	// The worker chosen for the change crashes. Waiting for it would leave prefill
-	// workers
-	// idle and decode workers full for the rest of a burst.
+	// workers idle and decode workers full for the rest of a burst.
 	@Test
 	void movesAnotherWorkerWhenOneIsLost() {
 		this.port.unresponsiveWorkers.add("p-a");
@@ -208,8 +206,7 @@
 	}
 
 	// The order was lost or is still in transit. It is resent with the same expected
-	// order
-	// count, so that the worker accepts only one of the copies.
+	// order count, so that the worker accepts only one of the copies.
 	@Test
 	void resendsLostOrderWithSameExpectedOrderCount() {
 		this.port.losesOrders = true;
@@ -229,14 +226,13 @@
 	}
 
 	// The VM was paused after announcing a change, and another VM has become the leader
-	// in
-	// the meantime.
+	// in the meantime.
 	@Test
 	void sendsNoOrderAfterLosingLeadership() {
 		this.timer.advance(5_100);
 		Assertions.assertThat(this.registry.announcedStages).hasSize(1);
 		Assertions.assertThat(this.port.orders).isEmpty();
-		this.registry.leader = new RegistryChange.LeaderElected("vms/other", new StorePosition(0, FENCE + 5));
+		this.registry.leader = new RegistryChange.LeaderElected("vms/other", new StorePosition(0, FENCING_TOKEN + 5));
 		this.timer.advance(20_000);
 		Assertions.assertThat(this.port.orders).isEmpty();
 	}
