--- a/src/main/java/io/shallotspur/admission/FairQueue.java
+++ b/src/main/java/io/shallotspur/admission/FairQueue.java
@@ -108,7 +108,7 @@
 	 * @param cost its predicted cost
 	 * @return whether it was held
 	 */
-	public boolean start(T item, double cost) {
+	public boolean dispatch(T item, double cost) {
 		Flow<T> f = this.flows.get(item.flow());
 		if (f == null) {
 			return false;
@@ -144,7 +144,7 @@
 	 * @param taken tells whether to stop at an item
 	 * @return the item that was taken, or {@code null}
 	 */
-	public @Nullable T firstInOrder(int most, Predicate<T> taken) {
+	public @Nullable T findNext(int most, Predicate<T> taken) {
 		Offer<T> offer = new Offer<>(most, taken);
 		Map.Entry<Integer, Level<T>> lower = lowerTurn();
 		if (lower != null) {
--- a/src/main/java/io/shallotspur/admission/TimerQueue.java
+++ b/src/main/java/io/shallotspur/admission/TimerQueue.java
@@ -58,7 +58,7 @@
 	 * Returns when the next timer is due.
 	 * @return the time in milliseconds, or {@link Long#MAX_VALUE} if there is none
 	 */
-	public long next() {
+	public long nextDueAt() {
 		dropEnded();
 		Timer<T> t = this.queue.peek();
 		return (t != null) ? t.at() : Long.MAX_VALUE;
--- a/src/main/java/io/shallotspur/cell/CellDispatch.java
+++ b/src/main/java/io/shallotspur/cell/CellDispatch.java
@@ -74,7 +74,7 @@
 
 	private boolean startOne(Placer placer, SlotForecast slots, Set<Job> passed, long now) {
 		Choice choice = new Choice();
-		Job job = this.queue.firstInOrder(this.settings.lookahead(), (j) -> {
+		Job job = this.queue.findNext(this.settings.lookahead(), (j) -> {
 			if (passed.contains(j) || j.notBefore > now) {
 				return false;
 			}
@@ -85,7 +85,7 @@
 				return late != null && sparesRoom(late, slots, now);
 			}
 			boolean slot = !this.settings.enabled(CellFeature.RESERVATION) || slots.freeIn(p.readyAt() - now) >= 1;
-			if (slot && p.worker().idle() && p.startAt() <= now) {
+			if (slot && p.worker().isIdle() && p.startAt() <= now) {
 				choice.placement = p;
 				return true;
 			}
--- a/src/main/java/io/shallotspur/cell/CellFleet.java
+++ b/src/main/java/io/shallotspur/cell/CellFleet.java
@@ -44,7 +44,7 @@
 		else if (worker.role() == WorkerRole.DECODE) {
 			DecodeWorker d = new DecodeWorker(worker, this.settings.priorStepMs(),
 					this.settings.priorStepMsPerRequest());
-			d.limitSlots(this.slotLimit);
+			d.setSlotLimit(this.slotLimit);
 			this.decode.put(worker.id(), d);
 		}
 	}
@@ -53,7 +53,7 @@
 	void limitSlots(int most, long until) {
 		this.slotLimit = most;
 		this.slotLimitUntil = until;
-		this.decode.values().forEach((d) -> d.limitSlots(most));
+		this.decode.values().forEach((d) -> d.setSlotLimit(most));
 	}
 
 	void expireLimit(long now) {
@@ -70,17 +70,17 @@
 	void leave(String id) {
 		PrefillWorker p = this.prefill.get(id);
 		if (p != null) {
-			p.leave();
+			p.drain();
 		}
 		DecodeWorker d = this.decode.get(id);
 		if (d != null) {
-			d.leave();
+			d.drain();
 		}
 	}
 
 	// Notes a prompt, to learn which blocks are shared.
 	void prompt(long[] blocks) {
-		this.shared.add(blocks);
+		this.shared.recordPrompt(blocks);
 	}
 
 	boolean knows(String id) {
@@ -105,7 +105,7 @@
 
 	boolean anyIdlePrefill() {
 		for (PrefillWorker p : this.prefill.values()) {
-			if (p.idle()) {
+			if (p.isIdle()) {
 				return true;
 			}
 		}
@@ -116,15 +116,15 @@
 	int slots() {
 		int n = 0;
 		for (DecodeWorker d : this.decode.values()) {
-			n += d.leaving() ? 0 : d.worker().slots();
+			n += d.isDraining() ? 0 : d.worker().slots();
 		}
 		return n;
 	}
 
 	// Returns whether both roles have a worker that takes new work.
 	boolean takesWork() {
-		return this.prefill.values().stream().anyMatch((p) -> !p.leaving())
-				&& this.decode.values().stream().anyMatch((d) -> !d.leaving());
+		return this.prefill.values().stream().anyMatch((p) -> !p.isDraining())
+				&& this.decode.values().stream().anyMatch((d) -> !d.isDraining());
 	}
 
 }
--- a/src/main/java/io/shallotspur/cell/CellObserver.java
+++ b/src/main/java/io/shallotspur/cell/CellObserver.java
@@ -53,13 +53,13 @@
 		else if (event instanceof CellEvent.LoadReport e) {
 			DecodeWorker d = this.fleet.decode(e.workerId());
 			if (d != null) {
-				d.report(e.active());
+				d.recordActiveRequests(e.active());
 			}
 		}
 		else if (event instanceof CellEvent.CacheChange e) {
 			PrefillWorker p = this.fleet.prefill(e.workerId());
 			if (p != null) {
-				p.index().apply(e.sequence(), e.block(), e.stored(), now, CACHE_EVENT_LAG_MS);
+				p.prefixIndex().applyCacheEvent(e.sequence(), e.block(), e.stored(), now, CACHE_EVENT_LAG_MS);
 			}
 		}
 		else {
--- a/src/main/java/io/shallotspur/cell/Job.java
+++ b/src/main/java/io/shallotspur/cell/Job.java
@@ -4,7 +4,7 @@
 
 import io.shallotspur.admission.FairQueue;
 import io.shallotspur.routing.DecodeWorker;
-import io.shallotspur.routing.LengthSample;
+import io.shallotspur.routing.OutputLengthSample;
 import io.shallotspur.routing.PrefillWorker;
 
 /**
@@ -24,7 +24,7 @@
 
 	private final String flow;
 
-	final LengthSample lengths;
+	final OutputLengthSample lengths;
 
 	final long sequence;
 
@@ -64,7 +64,7 @@
 
 	@Nullable DecodeWorker decode;
 
-	Job(ModelRequest request, String flow, LengthSample lengths, long sequence) {
+	Job(ModelRequest request, String flow, OutputLengthSample lengths, long sequence) {
 		this.request = request;
 		this.flow = flow;
 		this.lengths = lengths;
@@ -102,7 +102,7 @@
 
 	// Returns the tokens still expected.
 	double remainingTokens() {
-		double left = this.lengths.remaining(this.generated);
+		double left = this.lengths.expectedRemaining(this.generated);
 		int max = this.request.maxOutputTokens();
 		return (max > 0) ? Math.min(left, Math.max(1, max - this.generated)) : left;
 	}
@@ -113,7 +113,7 @@
 	// otherwise.
 	long firstTokenBy(double stepMs, boolean useTarget) {
 		if (this.generated > 0) {
-			double rest = this.lengths.remainingAtLeast(this.generated, SHORT_PART);
+			double rest = this.lengths.remainingQuantile(this.generated, SHORT_PART);
 			return this.request.deadlineAt() - (long) (rest * stepMs);
 		}
 		return useTarget ? dueAt() : this.request.deadlineAt();
--- a/src/main/java/io/shallotspur/cell/JobFlow.java
+++ b/src/main/java/io/shallotspur/cell/JobFlow.java
@@ -9,7 +9,7 @@
 import io.shallotspur.outcome.RefusalCode;
 import io.shallotspur.retry.Backoff;
 import io.shallotspur.retry.RetryBudget;
-import io.shallotspur.retry.RetryBudgetLimits;
+import io.shallotspur.retry.RetryBudgetSettings;
 import io.shallotspur.routing.DecodeWorker;
 import io.shallotspur.routing.PrefillWorker;
 
@@ -52,7 +52,7 @@
 		this.queue = queue;
 		this.timers = timers;
 		this.budget = new RetryBudget(
-				new RetryBudgetLimits(settings.retryRatio(), settings.retryReserve(), RETRY_WINDOW_MS, MAX_CUSTOMERS));
+				new RetryBudgetSettings(settings.retryRatio(), settings.retryReserve(), RETRY_WINDOW_MS, MAX_CUSTOMERS));
 		this.random = new Random(seed);
 	}
 
@@ -61,17 +61,17 @@
 	}
 
 	void submit(Job job, long now) {
-		this.budget.firstTry(job.customer(), now);
+		this.budget.recordFirstAttempt(job.customer(), now);
 		this.jobs.add(job);
 		this.queue.add(job);
 		this.timers.add(job, job.request.deadlineAt());
 	}
 
 	void startPrefill(Job job, Placement p, long now) {
-		double step = p.decode().stepMs(p.decode().limit(job.request.tbtMs()));
+		double step = p.decode().predictStepMs(p.decode().maxRequests(job.request.tbtMs()));
 		double engineMs = p.prefillMs()
-				+ job.remainingTokens() * step / Math.max(1, p.decode().limit(job.request.tbtMs()));
-		this.queue.start(job, engineMs);
+				+ job.remainingTokens() * step / Math.max(1, p.decode().maxRequests(job.request.tbtMs()));
+		this.queue.dispatch(job, engineMs);
 		job.charged = engineMs;
 		job.tries++;
 		this.jobs.beginAttempt(job);
@@ -79,7 +79,7 @@
 		job.prefill = p.worker();
 		job.expectedMs = p.prefillMs();
 		reserve(job, p.decode());
-		p.worker().start(job.attempt, job.request.prefixBlocks(), now + p.prefillMs());
+		p.worker().startPrefill(job.attempt, job.request.prefixBlocks(), now + p.prefillMs());
 		this.out.accept(new CellAction.StartPrefill(job.request.id(), job.attempt, p.worker().id(), p.decode().id(),
 				job.generated));
 	}
@@ -87,7 +87,7 @@
 	void prefillDone(Job job, int computed, long now) {
 		PrefillWorker p = job.prefill;
 		if (p != null) {
-			p.finish(job.attempt, job.promptTokens(), computed, now - job.stageSince, now);
+			p.finishPrefill(job.attempt, job.promptTokens(), computed, now - job.stageSince, now);
 			long ttl = (p.worker().kvTtlMs() > 0) ? p.worker().kvTtlMs() : Long.MAX_VALUE / 4;
 			job.kvUntil = now + Math.max(1, ttl - this.settings.kvMarginMs());
 			this.timers.add(job, job.kvUntil - KV_URGENT_MS);
@@ -103,9 +103,9 @@
 		}
 		unreserve(job);
 		job.decode = d;
-		d.hold(1);
+		d.adjustHeldSlots(1);
 		if (job.suspect) {
-			d.addSuspects(1);
+			d.adjustSuspects(1);
 		}
 		job.transferMs = d.startTransfer(job.promptTokens(), now);
 		enter(job, Stage.TRANSFERRING, now);
@@ -116,7 +116,7 @@
 	}
 
 	long stallAt(DecodeWorker d) {
-		return (long) Math.ceil(d.stallAt(this.settings.stallFloorMs()));
+		return (long) Math.ceil(d.stallDeadline(this.settings.stallFloorMs()));
 	}
 
 	void startDecode(Job job, long now) {
@@ -125,7 +125,7 @@
 		if (d == null || p == null) {
 			return;
 		}
-		d.finishTransfer(job.transferMs, now - job.stageSince, now);
+		d.completeTransfer(job.transferMs, now - job.stageSince, now);
 		enter(job, Stage.DECODING, now);
 		job.everDecoded = true;
 		job.decodedHere = 0;
@@ -238,7 +238,7 @@
 		if (!job.suspect || d == null || job.decodedHere < job.provenAfter) {
 			return false;
 		}
-		d.addSuspects(-1);
+		d.adjustSuspects(-1);
 		job.suspect = false;
 		return true;
 	}
@@ -246,9 +246,9 @@
 	void reserve(Job job, DecodeWorker d) {
 		unreserve(job);
 		job.decode = d;
-		d.reserve(1);
+		d.adjustReservedSlots(1);
 		if (job.suspect) {
-			d.reserveSuspects(1);
+			d.adjustReservedSuspects(1);
 		}
 	}
 
@@ -257,7 +257,7 @@
 		PrefillWorker p = job.prefill;
 		DecodeWorker d = job.decode;
 		if (job.stage == Stage.PREFILLING && p != null && !job.prefillLost) {
-			p.abort(job.attempt);
+			p.abortPrefill(job.attempt);
 			this.out.accept(new CellAction.CancelPrefill(id, job.attempt, p.id()));
 		}
 		if (job.stage == Stage.TRANSFERRING && p != null && d != null) {
@@ -286,12 +286,12 @@
 			return;
 		}
 		if (job.stage == Stage.TRANSFERRING || job.stage == Stage.DECODING) {
-			d.hold(-1);
+			d.adjustHeldSlots(-1);
 			if (job.stage == Stage.TRANSFERRING) {
 				d.endTransfer(job.transferMs, now);
 			}
 			if (job.suspect) {
-				d.addSuspects(-1);
+				d.adjustSuspects(-1);
 			}
 			job.decode = null;
 		}
@@ -305,9 +305,9 @@
 		if (d == null) {
 			return;
 		}
-		d.reserve(-1);
+		d.adjustReservedSlots(-1);
 		if (job.suspect) {
-			d.reserveSuspects(-1);
+			d.adjustReservedSuspects(-1);
 		}
 		job.decode = null;
 	}
--- a/src/main/java/io/shallotspur/cell/Placer.java
+++ b/src/main/java/io/shallotspur/cell/Placer.java
@@ -79,12 +79,12 @@
 		if (d == null) {
 			return null;
 		}
-		double step = STEPS_TO_FIRST_TOKEN * d.stepMs(d.held() + 1);
+		double step = STEPS_TO_FIRST_TOKEN * d.predictStepMs(d.heldSlots() + 1);
 		double cheapest = Double.MAX_VALUE;
 		double[] costs = new double[this.fleet.prefill().size()];
 		int i = 0;
 		for (PrefillWorker p : this.fleet.prefill()) {
-			costs[i] = p.leaving() ? Double.MAX_VALUE : prefillMs(p, job);
+			costs[i] = p.isDraining() ? Double.MAX_VALUE : prefillMs(p, job);
 			cheapest = Math.min(cheapest, costs[i++]);
 		}
 		i = 0;
@@ -92,11 +92,11 @@
 		double bestScore = Double.MAX_VALUE;
 		for (PrefillWorker p : this.fleet.prefill()) {
 			double ms = costs[i++];
-			if (p.leaving()) {
+			if (p.isDraining()) {
 				continue;
 			}
-			double start = p.freeAt(this.now) + this.planned.getOrDefault(p.id(), 0.0);
-			double ready = d.transferEnd(job.promptTokens(), start + ms);
+			double start = p.expectedFreeAt(this.now) + this.planned.getOrDefault(p.id(), 0.0);
+			double ready = d.predictTransferEnd(job.promptTokens(), start + ms);
 			double score = start + ms + this.wasteFactor * (ms - cheapest) + evictionMs(p, job);
 			if (ready + step <= firstTokenBy && score < bestScore) {
 				best = new Placement(p, d, start, ms, ready);
@@ -122,8 +122,8 @@
 	double leastMs(Job job) {
 		double tail = Double.MAX_VALUE;
 		for (DecodeWorker d : this.fleet.decode()) {
-			if (!d.leaving()) {
-				tail = Math.min(tail, d.transferMs(job.promptTokens()) + STEPS_TO_FIRST_TOKEN * d.stepMs(d.held() + 1));
+			if (!d.isDraining()) {
+				tail = Math.min(tail, d.predictTransferMs(job.promptTokens()) + STEPS_TO_FIRST_TOKEN * d.predictStepMs(d.heldSlots() + 1));
 			}
 		}
 		return cheapestMs(job) + ((tail == Double.MAX_VALUE) ? 0 : tail);
@@ -146,14 +146,14 @@
 		Placement best = null;
 		double bestScore = Double.MAX_VALUE;
 		for (PrefillWorker p : this.fleet.prefill()) {
-			if (!p.idle() || this.planned.containsKey(p.id())) {
+			if (!p.isIdle() || this.planned.containsKey(p.id())) {
 				continue;
 			}
 			double ms = prefillMs(p, job);
 			double score = ms + evictionMs(p, job);
-			boolean warms = p.warmingMs(job.request.prefixBlocks()) >= WARMING_PART * ms;
+			boolean warms = p.warmingBenefitMs(job.request.prefixBlocks()) >= WARMING_PART * ms;
 			if (warms && alwaysLate(job, d, ms) && score < bestScore) {
-				best = new Placement(p, d, this.now, ms, d.transferEnd(job.promptTokens(), this.now + ms));
+				best = new Placement(p, d, this.now, ms, d.predictTransferEnd(job.promptTokens(), this.now + ms));
 				bestScore = score;
 			}
 		}
@@ -167,7 +167,7 @@
 	 * @return the worker, or {@code null} if none will do
 	 */
 	@Nullable DecodeWorker decodeWorker(Job job) {
-		return best(job, (d) -> !job.suspect || d.reservedSuspects() == 0);
+		return best(job, (d) -> !job.suspect || d.reservedSuspectCount() == 0);
 	}
 
 	/**
@@ -180,18 +180,18 @@
 	 */
 	@Nullable DecodeWorker transferTarget(Job job, boolean urgent) {
 		return best(job,
-				(d) -> d.free(tbt(job)) >= 1 && (urgent || d.linkIdle()) && (!job.suspect || d.suspects() == 0));
+				(d) -> d.freeSlots(tbt(job)) >= 1 && (urgent || d.isLinkIdle()) && (!job.suspect || d.suspectCount() == 0));
 	}
 
 	private @Nullable DecodeWorker best(Job job, Predicate<DecodeWorker> fits) {
 		DecodeWorker best = null;
 		double bestScore = Double.MAX_VALUE;
 		for (DecodeWorker d : this.fleet.decode()) {
-			if (!d.usable(this.now) || !fits.test(d)) {
+			if (!d.isAvailable(this.now) || !fits.test(d)) {
 				continue;
 			}
-			double load = (d.held() + d.reserved() - ((job.decode == d) ? 1.5 : 0)) / d.limit(tbt(job));
-			double score = d.transferEnd(job.promptTokens(), this.now) - this.now + LOAD_WEIGHT_MS * load;
+			double load = (d.heldSlots() + d.reservedSlots() - ((job.decode == d) ? 1.5 : 0)) / d.maxRequests(tbt(job));
+			double score = d.predictTransferEnd(job.promptTokens(), this.now) - this.now + LOAD_WEIGHT_MS * load;
 			if (score < bestScore) {
 				best = d;
 				bestScore = score;
@@ -202,7 +202,7 @@
 
 	// Whether the request would have been late here even if it had started on arrival.
 	private static boolean alwaysLate(Job job, DecodeWorker d, double prefillMs) {
-		double first = prefillMs + d.transferMs(job.promptTokens()) + STEPS_TO_FIRST_TOKEN * d.stepMs(d.held() + 1);
+		double first = prefillMs + d.predictTransferMs(job.promptTokens()) + STEPS_TO_FIRST_TOKEN * d.predictStepMs(d.heldSlots() + 1);
 		return job.request.arrivedAt() + first > job.dueAt();
 	}
 
@@ -210,13 +210,13 @@
 		if (!this.settings.enabled(CellFeature.PREFIX_SCORE)) {
 			return 0;
 		}
-		return EVICTION_WEIGHT * p.evictionMs(job.request.prefixBlocks(), this.now - RECENT_MS);
+		return EVICTION_WEIGHT * p.evictionCostMs(job.request.prefixBlocks(), this.now - RECENT_MS);
 	}
 
 	private double cheapestMs(Job job) {
 		double least = Double.MAX_VALUE;
 		for (PrefillWorker p : this.fleet.prefill()) {
-			if (!p.leaving()) {
+			if (!p.isDraining()) {
 				least = Math.min(least, prefillMs(p, job));
 			}
 		}
@@ -225,10 +225,10 @@
 
 	private double prefillMs(PrefillWorker p, Job job) {
 		if (!this.settings.enabled(CellFeature.PREFIX_SCORE)) {
-			return p.prefillMs(job.promptTokens());
+			return p.predictPrefillMs(job.promptTokens());
 		}
 		boolean expected = this.settings.enabled(CellFeature.COALESCING);
-		return p.prefillMs(p.missing(job.promptTokens(), job.request.prefixBlocks(), expected));
+		return p.predictPrefillMs(p.uncachedTokens(job.promptTokens(), job.request.prefixBlocks(), expected));
 	}
 
 	private static double tbt(Job job) {
--- a/src/main/java/io/shallotspur/cell/SlotForecast.java
+++ b/src/main/java/io/shallotspur/cell/SlotForecast.java
@@ -28,8 +28,8 @@
 	SlotForecast(Collection<DecodeWorker> workers, Collection<Job> jobs, double tbtMs, double confidence, long now) {
 		double open = 0;
 		for (DecodeWorker d : workers) {
-			if (d.usable(now)) {
-				open += Math.max(0, d.free(tbtMs));
+			if (d.isAvailable(now)) {
+				open += Math.max(0, d.freeSlots(tbtMs));
 			}
 		}
 		double[] variance = new double[HORIZONS_MS.length];
@@ -37,8 +37,8 @@
 			if (j.stage == Stage.PREFILLING || j.stage == Stage.KV_READY) {
 				open--;
 			}
-			if (j.stage == Stage.DECODING && j.decode != null && j.decode.usable(now)) {
-				add(j, j.decode.stepMs(j.decode.held()), variance);
+			if (j.stage == Stage.DECODING && j.decode != null && j.decode.isAvailable(now)) {
+				add(j, j.decode.predictStepMs(j.decode.heldSlots()), variance);
 			}
 		}
 		for (int i = 0; i < HORIZONS_MS.length; i++) {
@@ -48,7 +48,7 @@
 
 	private void add(Job job, double stepMs, double[] variance) {
 		for (int i = 1; i < HORIZONS_MS.length; i++) {
-			double p = job.lengths.endsWithin(job.generated, HORIZONS_MS[i] / Math.max(1, stepMs));
+			double p = job.lengths.endProbability(job.generated, HORIZONS_MS[i] / Math.max(1, stepMs));
 			this.free[i] += p;
 			variance[i] += p * (1 - p);
 		}
--- a/src/main/java/io/shallotspur/cell/StdCellScheduler.java
+++ b/src/main/java/io/shallotspur/cell/StdCellScheduler.java
@@ -11,7 +11,7 @@
 import io.shallotspur.outcome.RefusalCode;
 import io.shallotspur.quarantine.CrashSuspects;
 import io.shallotspur.routing.DecodeWorker;
-import io.shallotspur.routing.OutputLengths;
+import io.shallotspur.routing.OutputLengthSamples;
 
 /**
  * The scheduler of a cell. A prefill starts only when a decode slot is expected to be
@@ -38,7 +38,7 @@
 
 	private final JobFlow flow;
 
-	private final OutputLengths lengths;
+	private final OutputLengthSamples lengths;
 
 	private final CrashSuspects crashes;
 
@@ -77,7 +77,7 @@
 		this.crashes = crashes;
 		this.fleet = new CellFleet(settings);
 		this.queue = new FairQueue<>(this::share);
-		this.lengths = new OutputLengths(settings.priorOutputTokens());
+		this.lengths = new OutputLengthSamples(settings.priorOutputTokens());
 		this.flow = new JobFlow(settings, this.jobs, this.queue, this.timers, seed);
 		this.observer = new CellObserver(this.fleet, this.jobs, this.flow, crashes);
 		this.suspects = new CellSuspects(settings, crashes, this.flow);
@@ -101,7 +101,7 @@
 
 	@Override
 	public long nextWake(long now) {
-		return Math.max(now, Math.min(this.recheckAt, this.timers.next()));
+		return Math.max(now, Math.min(this.recheckAt, this.timers.nextDueAt()));
 	}
 
 	/**
@@ -159,7 +159,7 @@
 
 	private void submit(ModelRequest r, long now) {
 		Job j = new Job(r, this.settings.enabled(CellFeature.FAIR_QUEUEING) ? r.customer() : "",
-				this.lengths.of(r.customer(), r.className()), this.jobs.nextSequence());
+				this.lengths.sampleFor(r.customer(), r.className()), this.jobs.nextSequence());
 		this.suspects.mark(j, now);
 		if (this.crashes.isQuarantined(r.fingerprint(), now)) {
 			this.flow.refuse(j, RefusalCode.QUARANTINED, "The request crashed workers before.", 0, now);
@@ -291,7 +291,7 @@
 		}
 		else if (j.stage == Stage.TRANSFERRING && d != null) {
 			if (now >= this.flow.stallAt(d)) {
-				d.stalled(now);
+				d.recordStall(now);
 				this.flow.transferAgain(j, now);
 			}
 			else {
--- a/src/main/java/io/shallotspur/demo/FailureLoad.java
+++ b/src/main/java/io/shallotspur/demo/FailureLoad.java
@@ -50,13 +50,13 @@
 		RetryBudget budget = new RetryBudget();
 		OutlierDetector detector = new OutlierDetector();
 		for (int w = 0; w < WORKERS; w++) {
-			detector.added("w" + w);
+			detector.addWorker("w" + w);
 		}
 		long sent = 0;
 		long failed = 0;
 		for (int i = 0; i < FIRST_TRIES; i++) {
 			long now = i * GAP_MS;
-			budget.firstTry("customer", now);
+			budget.recordFirstAttempt("customer", now);
 			boolean ok = call(detector, bounded, now);
 			int tries = 1;
 			while (!ok && tries < MAX_TRIES && (!bounded || budget.tryRetry("customer", now))) {
@@ -71,15 +71,15 @@
 
 	private boolean call(OutlierDetector d, boolean bounded, long now) {
 		int w = this.random.nextInt(WORKERS);
-		while (bounded && d.health("w" + w, now) == WorkerHealth.OUT) {
+		while (bounded && d.health("w" + w, now) == WorkerHealth.EJECTED) {
 			w = this.random.nextInt(WORKERS);
 		}
-		d.started("w" + w, now);
+		d.recordStart("w" + w, now);
 		if (w < FAILING) {
-			d.failed("w" + w, now);
+			d.recordFailure("w" + w, now);
 			return false;
 		}
-		d.succeeded("w" + w, 20, now);
+		d.recordSuccess("w" + w, 20, now);
 		return true;
 	}
 
--- a/src/main/java/io/shallotspur/gateway/RelayTask.java
+++ b/src/main/java/io/shallotspur/gateway/RelayTask.java
@@ -93,7 +93,7 @@
 			this.gateway.metrics.sentToVanished();
 			log("sent to vanished worker=" + w.info().id(), now);
 		}
-		this.gateway.roster.outlierDetector(this.upstream).started(w.info().id(), now);
+		this.gateway.roster.outlierDetector(this.upstream).recordStart(w.info().id(), now);
 		Attempt a = new Attempt(this, w, this.route.kind() == RouteKind.STREAM, this.responseStarted);
 		this.attempt = a;
 		this.prefillsAtWorker = call.kvSource() == null && this.request.prompt() != null;
@@ -182,7 +182,7 @@
 			String id = this.attempt.worker().info().id();
 			this.gateway.engineTimes(this.upstream)
 				.recordTimeToFirstEvent(now - Math.max(this.arrivedAt, this.placing.reservedAt()));
-			this.gateway.roster.outlierDetector(this.upstream).succeeded(id, now - this.attemptStartedAt, now);
+			this.gateway.roster.outlierDetector(this.upstream).recordSuccess(id, now - this.attemptStartedAt, now);
 			this.attempt.worker().recordOutcome(false);
 		}
 	}
@@ -240,7 +240,7 @@
 			w.recordLoad(new LoadReport(slots, slots, slots), now);
 		}
 		else {
-			this.gateway.roster.outlierDetector(this.upstream).failed(w.info().id(), now);
+			this.gateway.roster.outlierDetector(this.upstream).recordFailure(w.info().id(), now);
 		}
 		if (end == AttemptOutcome.NOT_SENT) {
 			w.markUnreachable(now);
--- a/src/main/java/io/shallotspur/gateway/ReservationQueue.java
+++ b/src/main/java/io/shallotspur/gateway/ReservationQueue.java
@@ -293,7 +293,7 @@
 		this.recentRefusals.recordRefusal(worker.info().id(), tokens, now + backoffMs,
 				now + backoffMs + lateBackoffMs(now), now);
 		if (failure != null) {
-			this.gateway.roster.outlierDetector(this.upstream).failed(worker.info().id(), now);
+			this.gateway.roster.outlierDetector(this.upstream).recordFailure(worker.info().id(), now);
 			worker.recordOutcome(true);
 			worker.markUnreachable(now);
 		}
--- a/src/main/java/io/shallotspur/gateway/WorkerDirectory.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerDirectory.java
@@ -46,9 +46,9 @@
 		this.byId.put(info.id(), new WorkerState(info, now));
 		if (known != null) {
 			known.terminate();
-			outlierDetector(known.info().upstream()).removed(info.id());
+			outlierDetector(known.info().upstream()).removeWorker(info.id());
 		}
-		outlierDetector(info.upstream()).added(info.id());
+		outlierDetector(info.upstream()).addWorker(info.id());
 	}
 
 	/**
@@ -200,7 +200,7 @@
 				continue;
 			}
 			all.add(s);
-			if (s.isReachable(now) && d.health(i.id(), now) != WorkerHealth.OUT) {
+			if (s.isReachable(now) && d.health(i.id(), now) != WorkerHealth.EJECTED) {
 				healthy.add(s);
 			}
 		}
@@ -216,7 +216,7 @@
 			if (!s.isRemoved(now)) {
 				return false;
 			}
-			outlierDetector(s.info().upstream()).removed(s.info().id());
+			outlierDetector(s.info().upstream()).removeWorker(s.info().id());
 			return true;
 		});
 	}
--- a/src/main/java/io/shallotspur/locate/CellPlanner.java
+++ b/src/main/java/io/shallotspur/locate/CellPlanner.java
@@ -18,7 +18,7 @@
  * <p>
  * An upstream with at most {@link #MAX_WORKERS} workers is one cell, whatever the halls:
  * one owner then knows all of it exactly. The workers of a larger model are divided by
- * {@link io.shallotspur.routing.CellPlan}, so that each cell has both roles and keeps
+ * {@link io.shallotspur.routing.CellLayout}, so that each cell has both roles and keeps
  * within a hall where it can; those of a larger plain service are spread evenly.
  */
 public final class CellPlanner {
@@ -26,7 +26,7 @@
 	/**
 	 * The most workers in a cell.
 	 */
-	public static final int MAX_WORKERS = io.shallotspur.routing.CellPlan.MAX_WORKERS;
+	public static final int MAX_WORKERS = io.shallotspur.routing.CellLayout.MAX_WORKERS;
 
 	private static final LongHashFunction HASH = LongHashFunction.xx3();
 
@@ -56,7 +56,7 @@
 			dividePlain(upstream, workers, out);
 		}
 		else {
-			io.shallotspur.routing.CellPlan.of(workers)
+			io.shallotspur.routing.CellLayout.of(workers)
 				.cells()
 				.forEach((c) -> out.add(cell(c.id(), upstream, c.workers())));
 		}
--- a/src/main/java/io/shallotspur/plain/StdPlainScheduler.java
+++ b/src/main/java/io/shallotspur/plain/StdPlainScheduler.java
@@ -17,7 +17,7 @@
 import io.shallotspur.outcome.RefusalCode;
 import io.shallotspur.retry.OutlierDetector;
 import io.shallotspur.retry.RetryBudget;
-import io.shallotspur.retry.RetryBudgetLimits;
+import io.shallotspur.retry.RetryBudgetSettings;
 import io.shallotspur.retry.WorkerHealth;
 
 /**
@@ -74,7 +74,7 @@
 		this.contracts = contracts;
 		this.queue = new FairQueue<>(this::share);
 		this.budget = new RetryBudget(
-				new RetryBudgetLimits(settings.retryRatio(), settings.retryReserve(), RETRY_WINDOW_MS, MAX_CUSTOMERS));
+				new RetryBudgetSettings(settings.retryRatio(), settings.retryReserve(), RETRY_WINDOW_MS, MAX_CUSTOMERS));
 	}
 
 	@Override
@@ -89,7 +89,7 @@
 
 	@Override
 	public long nextWake(long now) {
-		return Math.max(now, this.timers.next());
+		return Math.max(now, this.timers.nextDueAt());
 	}
 
 	/**
@@ -126,7 +126,7 @@
 		if (event instanceof PlainEvent.WorkerUp e) {
 			workerDown(e.worker().id(), now);
 			this.workers.put(e.worker().id(), new PlainWorker(e.worker(), this.settings));
-			this.outliers.added(e.worker().id());
+			this.outliers.addWorker(e.worker().id());
 		}
 		else if (event instanceof PlainEvent.WorkerDown e) {
 			workerDown(e.workerId(), now);
@@ -151,7 +151,7 @@
 			refuse(c, RefusalCode.QUEUE_FULL, "The queue is full.");
 		}
 		else {
-			this.budget.firstTry(r.customer(), now);
+			this.budget.recordFirstAttempt(r.customer(), now);
 			this.byId.put(r.id(), c);
 			this.queue.add(c);
 			this.timers.add(c, latestStart(c));
@@ -175,7 +175,7 @@
 			double took = now - c.startedAt;
 			this.queue.charge(c.flow(), took - w.recentMs());
 			w.done(took);
-			this.outliers.succeeded(w.id(), took, now);
+			this.outliers.recordSuccess(w.id(), took, now);
 		}
 		c.worker = null;
 		end(c);
@@ -187,7 +187,7 @@
 		}
 		c.maybeRun |= maybeRun;
 		if (c.worker != null) {
-			this.outliers.failed(c.worker.id(), now);
+			this.outliers.recordFailure(c.worker.id(), now);
 		}
 		freeWorker(c);
 		if (c.maybeRun && !c.request.repeatable()) {
@@ -209,7 +209,7 @@
 		if (this.workers.remove(id) == null) {
 			return;
 		}
-		this.outliers.removed(id);
+		this.outliers.removeWorker(id);
 		List<Call> lost = new ArrayList<>();
 		for (Call c : this.byAttempt.values()) {
 			if (c.worker != null && c.worker.id().equals(id)) {
@@ -244,7 +244,7 @@
 	private void dispatch(long now) {
 		PlainWorker w = leastLoaded(now);
 		while (w != null && this.queue.size() > 0) {
-			Call c = this.queue.firstInOrder(this.settings.lookahead(), (x) -> true);
+			Call c = this.queue.findNext(this.settings.lookahead(), (x) -> true);
 			if (c == null) {
 				return;
 			}
@@ -258,13 +258,13 @@
 	}
 
 	private void start(Call c, PlainWorker w, long now) {
-		this.queue.start(c, w.recentMs());
+		this.queue.dispatch(c, w.recentMs());
 		c.attempt = ++this.attempt;
 		c.tries++;
 		c.startedAt = now;
 		c.worker = w;
 		w.start();
-		this.outliers.started(w.id(), now);
+		this.outliers.recordStart(w.id(), now);
 		this.byAttempt.put(c.attempt, c);
 		this.out.accept(new PlainAction.StartCall(c.request.id(), c.attempt, w.id()));
 	}
@@ -309,7 +309,7 @@
 	private @Nullable PlainWorker leastLoaded(long now) {
 		PlainWorker best = null;
 		for (PlainWorker w : this.workers.values()) {
-			boolean in = this.outliers.health(w.id(), now) != WorkerHealth.OUT;
+			boolean in = this.outliers.health(w.id(), now) != WorkerHealth.EJECTED;
 			if (in && w.hasRoom() && (best == null || w.load() < best.load())) {
 				best = w;
 			}
--- a/src/main/java/io/shallotspur/retry/OutlierLimits.java
+++ b/src/main/java/io/shallotspur/retry/OutlierDetectionSettings.java
@@ -14,13 +14,13 @@
  * @param maxEjectMs how long an ejection lasts at most, in milliseconds
  * @param probeSuccesses answers in a row that bring a worker back
  */
-public record OutlierLimits(int consecutiveFailures, double latencyFactor, int minSamples, double maxShare,
+public record OutlierDetectionSettings(int consecutiveFailures, double latencyFactor, int minSamples, double maxShare,
 		long baseEjectMs, long maxEjectMs, int probeSuccesses) {
 
 	/**
 	 * Three failures or eight times the median latency; at most half of the workers; from
 	 * one second up to thirty.
 	 */
-	public static final OutlierLimits DEFAULT = new OutlierLimits(3, 8, 20, 0.5, 1_000, 30_000, 2);
+	public static final OutlierDetectionSettings DEFAULT = new OutlierDetectionSettings(3, 8, 20, 0.5, 1_000, 30_000, 2);
 
 }
--- a/src/main/java/io/shallotspur/retry/OutlierDetector.java
+++ b/src/main/java/io/shallotspur/retry/OutlierDetector.java
@@ -22,7 +22,7 @@
 
 	private static final int MAX_DOUBLINGS = 20;
 
-	private final OutlierLimits limits;
+	private final OutlierDetectionSettings limits;
 
 	private final Map<String, Stats> workers = new LinkedHashMap<>();
 
@@ -30,14 +30,14 @@
 	 * Creates a detector with the default limits.
 	 */
 	public OutlierDetector() {
-		this(OutlierLimits.DEFAULT);
+		this(OutlierDetectionSettings.DEFAULT);
 	}
 
 	/**
 	 * Creates a detector.
 	 * @param limits when a worker is left out
 	 */
-	public OutlierDetector(OutlierLimits limits) {
+	public OutlierDetector(OutlierDetectionSettings limits) {
 		this.limits = limits;
 	}
 
@@ -45,7 +45,7 @@
 	 * Adds a worker, or starts afresh with one that came back.
 	 * @param worker the worker
 	 */
-	public void added(String worker) {
+	public void addWorker(String worker) {
 		this.workers.put(worker, new Stats());
 	}
 
@@ -53,7 +53,7 @@
 	 * Forgets a worker.
 	 * @param worker the worker
 	 */
-	public void removed(String worker) {
+	public void removeWorker(String worker) {
 		this.workers.remove(worker);
 	}
 
@@ -61,14 +61,14 @@
 	 * Tells whether a worker is to be given calls.
 	 * @param worker the worker
 	 * @param now the present time in milliseconds
-	 * @return its health; {@link WorkerHealth#IN} for one that was never added
+	 * @return its health; {@link WorkerHealth#HEALTHY} for one that was never added
 	 */
 	public WorkerHealth health(String worker, long now) {
 		Stats s = this.workers.get(worker);
 		if (s == null || !s.ejected) {
-			return WorkerHealth.IN;
+			return WorkerHealth.HEALTHY;
 		}
-		return (now >= s.retryAt) ? WorkerHealth.PROBE : WorkerHealth.OUT;
+		return (now >= s.retryAt) ? WorkerHealth.PROBE : WorkerHealth.EJECTED;
 	}
 
 	/**
@@ -78,7 +78,7 @@
 	 * @param worker the worker
 	 * @param now the present time in milliseconds
 	 */
-	public void started(String worker, long now) {
+	public void recordStart(String worker, long now) {
 		Stats s = this.workers.get(worker);
 		if (s != null && s.ejected && now >= s.retryAt) {
 			s.retryAt = now + ejectMs(s);
@@ -92,7 +92,7 @@
 	 * @param latencyMs how long it took, in milliseconds
 	 * @param now the present time in milliseconds
 	 */
-	public void succeeded(String worker, double latencyMs, long now) {
+	public void recordSuccess(String worker, double latencyMs, long now) {
 		Stats s = this.workers.get(worker);
 		if (s == null) {
 			return;
@@ -114,7 +114,7 @@
 	 * @param worker the worker
 	 * @param now the present time in milliseconds
 	 */
-	public void failed(String worker, long now) {
+	public void recordFailure(String worker, long now) {
 		Stats s = this.workers.get(worker);
 		if (s == null) {
 			return;
--- a/src/main/java/io/shallotspur/retry/RetryBudget.java
+++ b/src/main/java/io/shallotspur/retry/RetryBudget.java
@@ -17,7 +17,7 @@
  */
 public final class RetryBudget {
 
-	private final RetryBudgetLimits limits;
+	private final RetryBudgetSettings limits;
 
 	private final Map<String, Tries> byCustomer = new LinkedHashMap<>(16, 0.75f, true);
 
@@ -25,14 +25,14 @@
 	 * Creates a budget with the default limits.
 	 */
 	public RetryBudget() {
-		this(RetryBudgetLimits.DEFAULT);
+		this(RetryBudgetSettings.DEFAULT);
 	}
 
 	/**
 	 * Creates a budget.
 	 * @param limits its bounds
 	 */
-	public RetryBudget(RetryBudgetLimits limits) {
+	public RetryBudget(RetryBudgetSettings limits) {
 		this.limits = limits;
 	}
 
@@ -41,7 +41,7 @@
 	 * @param customer the customer
 	 * @param now the present time in milliseconds
 	 */
-	public synchronized void firstTry(String customer, long now) {
+	public synchronized void recordFirstAttempt(String customer, long now) {
 		tries(customer, now).first += 1;
 	}
 
--- a/src/main/java/io/shallotspur/retry/RetryBudgetLimits.java
+++ b/src/main/java/io/shallotspur/retry/RetryBudgetSettings.java
@@ -9,11 +9,11 @@
  * @param maxCustomers the most customers remembered; the one that was idle longest goes
  * first
  */
-public record RetryBudgetLimits(double ratio, double floor, long windowMs, int maxCustomers) {
+public record RetryBudgetSettings(double ratio, double floor, long windowMs, int maxCustomers) {
 
 	/**
 	 * One retry in ten first tries, two for the idle, a window of ten seconds.
 	 */
-	public static final RetryBudgetLimits DEFAULT = new RetryBudgetLimits(0.1, 2, 10_000, 65_536);
+	public static final RetryBudgetSettings DEFAULT = new RetryBudgetSettings(0.1, 2, 10_000, 65_536);
 
 }
--- a/src/main/java/io/shallotspur/retry/WorkerHealth.java
+++ b/src/main/java/io/shallotspur/retry/WorkerHealth.java
@@ -8,7 +8,7 @@
 	/**
 	 * Gets calls.
 	 */
-	IN,
+	HEALTHY,
 
 	/**
 	 * May be given one call, which shows whether it is well again.
@@ -18,6 +18,6 @@
 	/**
 	 * Gets no calls.
 	 */
-	OUT
+	EJECTED
 
 }
--- a/src/main/java/io/shallotspur/routing/CellFill.java
+++ b/src/main/java/io/shallotspur/routing/CellFill.java
@@ -31,9 +31,9 @@
 	}
 
 	void fill(List<Cell> cells, List<Worker> spare) {
-		int prefill = CellPlan.count(this.workers, WorkerRole.PREFILL);
+		int prefill = CellLayout.count(this.workers, WorkerRole.PREFILL);
 		int decode = this.workers.size() - prefill;
-		int n = Math.min(CellPlan.cellsFor(this.workers.size()), Math.min(prefill, decode));
+		int n = Math.min(CellLayout.cellsFor(this.workers.size()), Math.min(prefill, decode));
 		for (int i = 0; i < n; i++) {
 			this.ids.add(this.upstream + "/" + this.hall + "/" + i);
 			this.filled.add(new ArrayList<>());
@@ -43,7 +43,7 @@
 			return;
 		}
 		place(WorkerRole.PREFILL, (prefill + n - 1) / n + 1, spare);
-		place(WorkerRole.DECODE, CellPlan.MAX_WORKERS, spare);
+		place(WorkerRole.DECODE, CellLayout.MAX_WORKERS, spare);
 		for (int i = 0; i < n; i++) {
 			List<Worker> l = this.filled.get(i);
 			l.sort(Comparator.comparing(Worker::id));
@@ -53,7 +53,7 @@
 
 	private void place(WorkerRole role, int mostOfRole, List<Worker> spare) {
 		// One place is kept free for a decode worker, without which the others are idle.
-		int most = (role == WorkerRole.PREFILL) ? CellPlan.MAX_WORKERS - 1 : CellPlan.MAX_WORKERS;
+		int most = (role == WorkerRole.PREFILL) ? CellLayout.MAX_WORKERS - 1 : CellLayout.MAX_WORKERS;
 		for (Worker w : this.workers) {
 			if (w.role() == role) {
 				int i = choose(w, role, mostOfRole, most);
@@ -66,7 +66,7 @@
 			}
 		}
 		for (int i = 0; i < this.filled.size(); i++) {
-			if (CellPlan.count(this.filled.get(i), role) == 0) {
+			if (CellLayout.count(this.filled.get(i), role) == 0) {
 				lend(i, role);
 			}
 		}
@@ -77,8 +77,8 @@
 		long bestScore = 0;
 		for (int i = 0; i < this.filled.size(); i++) {
 			List<Worker> l = this.filled.get(i);
-			long s = Rendezvous.score(w.id(), this.ids.get(i));
-			boolean room = l.size() < most && CellPlan.count(l, role) < mostOfRole;
+			long s = RendezvousHash.score(w.id(), this.ids.get(i));
+			boolean room = l.size() < most && CellLayout.count(l, role) < mostOfRole;
 			if (room && (best < 0 || s > bestScore)) {
 				best = i;
 				bestScore = s;
@@ -89,11 +89,11 @@
 
 	private void lend(int to, WorkerRole role) {
 		List<Worker> lender = this.filled.stream()
-			.max(Comparator.comparingInt((l) -> CellPlan.count(l, role)))
+			.max(Comparator.comparingInt((l) -> CellLayout.count(l, role)))
 			.orElseThrow();
 		Worker w = lender.stream()
 			.filter((x) -> x.role() == role)
-			.max(Comparator.comparingLong((x) -> Rendezvous.score(x.id(), this.ids.get(to))))
+			.max(Comparator.comparingLong((x) -> RendezvousHash.score(x.id(), this.ids.get(to))))
 			.orElseThrow();
 		lender.remove(w);
 		this.filled.get(to).add(w);
--- a/src/main/java/io/shallotspur/routing/CellPlan.java
+++ b/src/main/java/io/shallotspur/routing/CellLayout.java
@@ -27,7 +27,7 @@
  * is in two cells. When a worker comes or goes, the others keep their cells, but for
  * those that a changed number of cells moves.
  */
-public final class CellPlan {
+public final class CellLayout {
 
 	/**
 	 * The most workers of a cell.
@@ -46,13 +46,13 @@
 
 	private final Map<String, Cell> byWorker = new HashMap<>();
 
-	private final List<Worker> spare;
+	private final List<Worker> unassignedWorkers;
 
 	private final Map<String, Ring> rings = new HashMap<>();
 
-	private CellPlan(List<Cell> cells, List<Worker> spare) {
+	private CellLayout(List<Cell> cells, List<Worker> spare) {
 		this.cells = List.copyOf(cells);
-		this.spare = List.copyOf(spare);
+		this.unassignedWorkers = List.copyOf(spare);
 		Map<String, List<Cell>> byUpstream = new TreeMap<>();
 		for (Cell c : cells) {
 			c.workers().forEach((w) -> this.byWorker.put(w.id(), c));
@@ -66,7 +66,7 @@
 	 * @param workers all workers; plain ones are left out
 	 * @return the plan
 	 */
-	public static CellPlan of(Collection<Worker> workers) {
+	public static CellLayout of(Collection<Worker> workers) {
 		Map<String, List<Worker>> byUpstream = new TreeMap<>();
 		for (Worker w : workers) {
 			if (w.role() != WorkerRole.PLAIN) {
@@ -78,7 +78,7 @@
 		for (Map.Entry<String, List<Worker>> e : byUpstream.entrySet()) {
 			groups(e.getValue()).forEach((hall, l) -> new CellFill(e.getKey(), hall, l).fill(cells, spare));
 		}
-		return new CellPlan(cells, spare);
+		return new CellLayout(cells, spare);
 	}
 
 	/**
@@ -93,8 +93,8 @@
 	 * Returns the workers that are in no cell, because the other role is missing.
 	 * @return the workers
 	 */
-	public List<Worker> spare() {
-		return this.spare;
+	public List<Worker> unassignedWorkers() {
+		return this.unassignedWorkers;
 	}
 
 	/**
@@ -125,7 +125,7 @@
 	 * @return the owner, or empty if no node lives
 	 */
 	public static Optional<String> owner(String cellId, Collection<String> nodes) {
-		return Optional.ofNullable(Rendezvous.owner(cellId, nodes));
+		return Optional.ofNullable(RendezvousHash.owner(cellId, nodes));
 	}
 
 	private static Map<String, List<Worker>> groups(List<Worker> workers) {
--- a/src/main/java/io/shallotspur/routing/DecodeWorker.java
+++ b/src/main/java/io/shallotspur/routing/DecodeWorker.java
@@ -26,15 +26,15 @@
 
 	private final LinearFit steps;
 
-	private boolean leaving;
+	private boolean isDraining;
 
-	private int held;
+	private int heldSlots;
 
-	private int reserved;
+	private int reservedSlots;
 
-	private int suspects;
+	private int suspectCount;
 
-	private int reservedSuspects;
+	private int reservedSuspectCount;
 
 	private int foreign;
 
@@ -94,23 +94,23 @@
 	 * Returns whether it is leaving.
 	 * @return {@code true} if it takes no new work
 	 */
-	public boolean leaving() {
-		return this.leaving;
+	public boolean isDraining() {
+		return this.isDraining;
 	}
 
 	/**
 	 * Limits the slots that this scheduler may use.
 	 * @param most the most slots
 	 */
-	public void limitSlots(int most) {
+	public void setSlotLimit(int most) {
 		this.slotLimit = most;
 	}
 
 	/**
 	 * Marks it as leaving.
 	 */
-	public void leave() {
-		this.leaving = true;
+	public void drain() {
+		this.isDraining = true;
 	}
 
 	/**
@@ -118,8 +118,8 @@
 	 * @param now the present time in milliseconds
 	 * @return {@code false} if it is leaving, or avoided after a stall
 	 */
-	public boolean usable(long now) {
-		return !this.leaving && now >= this.avoidUntil;
+	public boolean isAvailable(long now) {
+		return !this.isDraining && now >= this.avoidUntil;
 	}
 
 	/**
@@ -127,7 +127,7 @@
 	 * @param tbtMs the tightest target for the gap between tokens
 	 * @return the limit, at least 1
 	 */
-	public int limit(double tbtMs) {
+	public int maxRequests(double tbtMs) {
 		double fit = this.steps.largestWithin(tbtMs);
 		int slots = (this.worker.slots() > 0) ? this.worker.slots() : Integer.MAX_VALUE;
 		return (int) Math.max(1, Math.min(slots, fit));
@@ -138,8 +138,8 @@
 	 * @param tbtMs the tightest target for the gap between tokens
 	 * @return the free slots; negative if the limit has shrunk
 	 */
-	public int free(double tbtMs) {
-		return Math.min(limit(tbtMs) - this.foreign, this.slotLimit) - this.held;
+	public int freeSlots(double tbtMs) {
+		return Math.min(maxRequests(tbtMs) - this.foreign, this.slotLimit) - this.heldSlots;
 	}
 
 	/**
@@ -147,8 +147,8 @@
 	 * among them.
 	 * @return the number of requests
 	 */
-	public int held() {
-		return this.held;
+	public int heldSlots() {
+		return this.heldSlots;
 	}
 
 	/**
@@ -156,57 +156,57 @@
 	 * transfer has not begun.
 	 * @return the number of reservations
 	 */
-	public int reserved() {
-		return this.reserved;
+	public int reservedSlots() {
+		return this.reservedSlots;
 	}
 
 	/**
 	 * Returns the suspects that hold memory here.
 	 * @return the number of suspects
 	 */
-	public int suspects() {
-		return this.suspects;
+	public int suspectCount() {
+		return this.suspectCount;
 	}
 
 	/**
 	 * Adds or takes away a suspect.
 	 * @param n 1 or -1
 	 */
-	public void addSuspects(int n) {
-		this.suspects += n;
+	public void adjustSuspects(int n) {
+		this.suspectCount += n;
 	}
 
 	/**
 	 * Returns the suspects for which a slot is reserved here.
 	 * @return the number of suspects
 	 */
-	public int reservedSuspects() {
-		return this.reservedSuspects;
+	public int reservedSuspectCount() {
+		return this.reservedSuspectCount;
 	}
 
 	/**
 	 * Adds or takes away a suspect for which a slot is reserved.
 	 * @param n 1 or -1
 	 */
-	public void reserveSuspects(int n) {
-		this.reservedSuspects += n;
+	public void adjustReservedSuspects(int n) {
+		this.reservedSuspectCount += n;
 	}
 
 	/**
 	 * Adds or takes away a reservation.
 	 * @param n 1 or -1
 	 */
-	public void reserve(int n) {
-		this.reserved += n;
+	public void adjustReservedSlots(int n) {
+		this.reservedSlots += n;
 	}
 
 	/**
 	 * Adds or takes away a request that holds memory.
 	 * @param n 1 or -1
 	 */
-	public void hold(int n) {
-		this.held += n;
-		this.peakHeld = Math.max(this.peakHeld, this.held);
+	public void adjustHeldSlots(int n) {
+		this.heldSlots += n;
+		this.peakHeld = Math.max(this.peakHeld, this.heldSlots);
 	}
 
 	/**
@@ -214,9 +214,9 @@
 	 * occurs while a former owner of the cell still has work there.
 	 * @param active the requests the worker said it held
 	 */
-	public void report(int active) {
+	public void recordActiveRequests(int active) {
 		this.foreign = Math.max(0, active - this.peakHeld);
-		this.peakHeld = this.held;
+		this.peakHeld = this.heldSlots;
 	}
 
 	/**
@@ -233,7 +233,7 @@
 	 * @param batch requests in the batch
 	 * @return milliseconds
 	 */
-	public double stepMs(int batch) {
+	public double predictStepMs(int batch) {
 		return this.steps.predict(batch);
 	}
 
@@ -243,8 +243,8 @@
 	 * @param at when it may begin, in milliseconds
 	 * @return the time in milliseconds
 	 */
-	public double transferEnd(int tokens, double at) {
-		return Math.max(at, this.linkFreeAt) + transferMs(tokens);
+	public double predictTransferEnd(int tokens, double at) {
+		return Math.max(at, this.linkFreeAt) + predictTransferMs(tokens);
 	}
 
 	/**
@@ -252,7 +252,7 @@
 	 * @param tokens the tokens whose KV cache is moved
 	 * @return milliseconds
 	 */
-	public double transferMs(int tokens) {
+	public double predictTransferMs(int tokens) {
 		return linkMs(tokens) * this.transferRatio;
 	}
 
@@ -260,7 +260,7 @@
 	 * Returns whether no transfer is under way to it.
 	 * @return whether its link is idle
 	 */
-	public boolean linkIdle() {
+	public boolean isLinkIdle() {
 		return this.transfers == 0;
 	}
 
@@ -271,7 +271,7 @@
 	 * @return its predicted length if it has the link to itself, in milliseconds
 	 */
 	public double startTransfer(int tokens, long now) {
-		double ms = transferMs(tokens);
+		double ms = predictTransferMs(tokens);
 		if (this.transfers == 0) {
 			this.progressAt = now;
 		}
@@ -288,7 +288,7 @@
 	 * @param tookMs its true length
 	 * @param now the present time in milliseconds
 	 */
-	public void finishTransfer(double predictedMs, double tookMs, long now) {
+	public void completeTransfer(double predictedMs, double tookMs, long now) {
 		if (this.alone && predictedMs > 0) {
 			double r = Math.min(4, tookMs / predictedMs);
 			this.transferDeviation += DEVIATION_GAIN * (Math.abs(r - 1) - this.transferDeviation);
@@ -318,7 +318,7 @@
 	 * @param floorMs the least patience beyond the prediction
 	 * @return the time in milliseconds
 	 */
-	public double stallAt(double floorMs) {
+	public double stallDeadline(double floorMs) {
 		return this.progressAt + this.outstandingMs * (1 + 4 * this.transferDeviation) + floorMs;
 	}
 
@@ -326,7 +326,7 @@
 	 * Notes that transfers stalled: the worker is avoided, for longer each time.
 	 * @param now the present time in milliseconds
 	 */
-	public void stalled(long now) {
+	public void recordStall(long now) {
 		if (now < this.avoidUntil) {
 			return;
 		}
--- a/src/main/java/io/shallotspur/routing/LengthSample.java
+++ b/src/main/java/io/shallotspur/routing/OutputLengthSample.java
@@ -7,7 +7,7 @@
  * and the chance that a running answer ends soon. Bounded memory; old lengths are
  * overwritten. Not thread-safe.
  */
-public final class LengthSample {
+public final class OutputLengthSample {
 
 	private static final int CAPACITY = 192;
 
@@ -31,7 +31,7 @@
 	 * Creates a sample that starts with a few lengths around a prior.
 	 * @param priorTokens the length expected before anything is learnt
 	 */
-	public LengthSample(int priorTokens) {
+	public OutputLengthSample(int priorTokens) {
 		for (double f : PRIOR_SPREAD) {
 			add((int) Math.max(1, priorTokens * f));
 		}
@@ -63,7 +63,7 @@
 	 * @param generated the tokens it has
 	 * @return tokens, at least 1
 	 */
-	public double remaining(int generated) {
+	public double expectedRemaining(int generated) {
 		int from = above(generated);
 		int n = this.sorted.length - from;
 		if (n == 0) {
@@ -82,7 +82,7 @@
 	 * @param chance the part of answers of that length so far that have fewer, under 1
 	 * @return tokens, at least 1
 	 */
-	public double remainingAtLeast(int generated, double chance) {
+	public double remainingQuantile(int generated, double chance) {
 		int from = above(generated);
 		int n = this.sorted.length - from;
 		return (n == 0) ? 1 : Math.max(1, this.sorted[from + (int) (chance * n)] - generated);
@@ -94,7 +94,7 @@
 	 * @param ahead the tokens to come
 	 * @return a probability
 	 */
-	public double endsWithin(int generated, double ahead) {
+	public double endProbability(int generated, double ahead) {
 		if (ahead <= 0) {
 			return 0;
 		}
--- a/src/main/java/io/shallotspur/routing/OutputLengths.java
+++ b/src/main/java/io/shallotspur/routing/OutputLengthSamples.java
@@ -7,16 +7,16 @@
  * Learnt output lengths by customer and class. A kind not seen before starts from the
  * mean of all. Bounded: the kind used least recently is forgotten. Not thread-safe.
  */
-public final class OutputLengths {
+public final class OutputLengthSamples {
 
 	private static final int MAX_KINDS = 512;
 
-	private final LengthSample all;
+	private final OutputLengthSample all;
 
-	private final Map<Kind, LengthSample> byKind = new LinkedHashMap<>(16, 0.75f, true) {
+	private final Map<Kind, OutputLengthSample> byKind = new LinkedHashMap<>(16, 0.75f, true) {
 
 		@Override
-		protected boolean removeEldestEntry(Map.Entry<Kind, LengthSample> eldest) {
+		protected boolean removeEldestEntry(Map.Entry<Kind, OutputLengthSample> eldest) {
 			return size() > MAX_KINDS;
 		}
 
@@ -26,8 +26,8 @@
 	 * Creates the learner.
 	 * @param priorTokens the length expected before anything is learnt
 	 */
-	public OutputLengths(int priorTokens) {
-		this.all = new LengthSample(priorTokens);
+	public OutputLengthSamples(int priorTokens) {
+		this.all = new OutputLengthSample(priorTokens);
 	}
 
 	/**
@@ -36,9 +36,9 @@
 	 * @param className the class
 	 * @return its sample
 	 */
-	public LengthSample of(String customer, String className) {
+	public OutputLengthSample sampleFor(String customer, String className) {
 		return this.byKind.computeIfAbsent(new Kind(customer, className),
-				(k) -> new LengthSample((int) this.all.mean()));
+				(k) -> new OutputLengthSample((int) this.all.mean()));
 	}
 
 	/**
@@ -49,7 +49,7 @@
 	 */
 	public void observe(String customer, String className, int tokens) {
 		this.all.observe(tokens);
-		of(customer, className).observe(tokens);
+		sampleFor(customer, className).observe(tokens);
 	}
 
 	private record Kind(String customer, String className) {
--- a/src/main/java/io/shallotspur/routing/PrefillWorker.java
+++ b/src/main/java/io/shallotspur/routing/PrefillWorker.java
@@ -19,9 +19,9 @@
 
 	private final LinearFit fit;
 
-	private final PrefixIndex index;
+	private final PrefixIndex prefixIndex;
 
-	private boolean leaving;
+	private boolean isDraining;
 
 	private long running;
 
@@ -41,7 +41,7 @@
 		}
 		this.worker = worker;
 		this.fit = new LinearFit(0, priorMsPerToken, TYPICAL_TOKENS, FIT_MEMORY);
-		this.index = new PrefixIndex(worker.cacheTokens() / BLOCK_TOKENS, shared::isShared);
+		this.prefixIndex = new PrefixIndex(worker.cacheTokens() / BLOCK_TOKENS, shared::isShared);
 	}
 
 	/**
@@ -64,31 +64,31 @@
 	 * Returns what its cache is believed to hold.
 	 * @return the index
 	 */
-	public PrefixIndex index() {
-		return this.index;
+	public PrefixIndex prefixIndex() {
+		return this.prefixIndex;
 	}
 
 	/**
 	 * Returns whether it is leaving.
 	 * @return {@code true} if it takes no new work
 	 */
-	public boolean leaving() {
-		return this.leaving;
+	public boolean isDraining() {
+		return this.isDraining;
 	}
 
 	/**
 	 * Marks it as leaving.
 	 */
-	public void leave() {
-		this.leaving = true;
+	public void drain() {
+		this.isDraining = true;
 	}
 
 	/**
 	 * Returns whether it can start a prefill now.
 	 * @return {@code true} if it is idle and not leaving
 	 */
-	public boolean idle() {
-		return this.running == 0 && !this.leaving;
+	public boolean isIdle() {
+		return this.running == 0 && !this.isDraining;
 	}
 
 	/**
@@ -96,7 +96,7 @@
 	 * @param now the present time in milliseconds
 	 * @return the time in milliseconds, not before {@code now}
 	 */
-	public double freeAt(long now) {
+	public double expectedFreeAt(long now) {
 		return (this.running == 0) ? now : Math.max(now, this.busyUntil);
 	}
 
@@ -105,7 +105,7 @@
 	 * @param tokens the tokens that are not cached
 	 * @return milliseconds
 	 */
-	public double prefillMs(int tokens) {
+	public double predictPrefillMs(int tokens) {
 		return this.fit.predict(tokens);
 	}
 
@@ -116,8 +116,8 @@
 	 * @param expected whether the prompt that is being read now counts as cached
 	 * @return tokens, at least 1
 	 */
-	public int missing(int promptTokens, long[] blocks, boolean expected) {
-		int held = this.index.match(blocks);
+	public int uncachedTokens(int promptTokens, long[] blocks, boolean expected) {
+		int held = this.prefixIndex.match(blocks);
 		if (expected && this.runningBlocks.length > 0) {
 			held = Math.max(held, common(blocks, this.runningBlocks));
 		}
@@ -131,11 +131,11 @@
 	 * @param since what was not used since this time is no loss, in milliseconds
 	 * @return milliseconds of prefill
 	 */
-	public double evictionMs(long[] blocks, long since) {
-		if (this.index.hasRoom(blocks.length)) {
+	public double evictionCostMs(long[] blocks, long since) {
+		if (this.prefixIndex.hasRoom(blocks.length)) {
 			return 0;
 		}
-		return this.fit.slope() * BLOCK_TOKENS * this.index.pushedOut(blocks, this.index.match(blocks), since);
+		return this.fit.slope() * BLOCK_TOKENS * this.prefixIndex.pushedOut(blocks, this.prefixIndex.match(blocks), since);
 	}
 
 	/**
@@ -143,8 +143,8 @@
 	 * @param blocks the hashes of the prompt's leading blocks
 	 * @return milliseconds of prefill
 	 */
-	public double warmingMs(long[] blocks) {
-		return this.fit.slope() * BLOCK_TOKENS * (this.index.sharedIn(blocks) - this.index.match(blocks));
+	public double warmingBenefitMs(long[] blocks) {
+		return this.fit.slope() * BLOCK_TOKENS * (this.prefixIndex.sharedIn(blocks) - this.prefixIndex.match(blocks));
 	}
 
 	/**
@@ -153,7 +153,7 @@
 	 * @param blocks the hashes of the prompt's leading blocks
 	 * @param finishAt when it is expected to finish, in milliseconds
 	 */
-	public void start(long attempt, long[] blocks, double finishAt) {
+	public void startPrefill(long attempt, long[] blocks, double finishAt) {
 		this.running = attempt;
 		this.runningBlocks = blocks;
 		this.busyUntil = finishAt;
@@ -167,13 +167,13 @@
 	 * @param tookMs how long it took
 	 * @param now the present time in milliseconds
 	 */
-	public void finish(long attempt, int promptTokens, int computedTokens, double tookMs, long now) {
+	public void finishPrefill(long attempt, int promptTokens, int computedTokens, double tookMs, long now) {
 		if (this.running != attempt) {
 			return;
 		}
 		this.fit.observe(computedTokens, tookMs);
-		this.index.correct(this.runningBlocks, (promptTokens - computedTokens) / BLOCK_TOKENS);
-		this.index.store(this.runningBlocks, now);
+		this.prefixIndex.correct(this.runningBlocks, (promptTokens - computedTokens) / BLOCK_TOKENS);
+		this.prefixIndex.recordPrompt(this.runningBlocks, now);
 		free();
 	}
 
@@ -181,7 +181,7 @@
 	 * Ends a prefill that was cancelled or failed.
 	 * @param attempt the attempt
 	 */
-	public void abort(long attempt) {
+	public void abortPrefill(long attempt) {
 		if (this.running == attempt) {
 			free();
 		}
--- a/src/main/java/io/shallotspur/routing/PrefixIndex.java
+++ b/src/main/java/io/shallotspur/routing/PrefixIndex.java
@@ -66,7 +66,7 @@
 	 * @param blocks the hashes of the prompt's leading blocks
 	 * @param now the present time in milliseconds
 	 */
-	public void store(long[] blocks, long now) {
+	public void recordPrompt(long[] blocks, long now) {
 		int n = Math.min(blocks.length, this.capacity);
 		for (int i = n - 1; i >= 0; i--) {
 			this.single.remove(blocks[i]);
@@ -99,7 +99,7 @@
 	 * @param settleMs a block used within this time is not removed: the event that says
 	 * so was sent before the use that brought it back
 	 */
-	public void apply(long sequence, long block, boolean stored, long now, long settleMs) {
+	public void applyCacheEvent(long sequence, long block, boolean stored, long now, long settleMs) {
 		if (sequence <= this.lastSequence) {
 			return;
 		}
--- a/src/main/java/io/shallotspur/routing/Rendezvous.java
+++ b/src/main/java/io/shallotspur/routing/RendezvousHash.java
@@ -10,11 +10,11 @@
  * so that a candidate that comes or goes moves only its own keys. Stateless and
  * thread-safe.
  */
-public final class Rendezvous {
+public final class RendezvousHash {
 
 	private static final LongHashFunction HASH = LongHashFunction.xx3();
 
-	private Rendezvous() {
+	private RendezvousHash() {
 	}
 
 	/**
--- a/src/main/java/io/shallotspur/routing/SharedBlocks.java
+++ b/src/main/java/io/shallotspur/routing/SharedBlocks.java
@@ -31,7 +31,7 @@
 	 * common with earlier prompts are its first ones.
 	 * @param blocks the hashes of the prompt's leading blocks
 	 */
-	public void add(long[] blocks) {
+	public void recordPrompt(long[] blocks) {
 		int i = 0;
 		while (i < blocks.length && this.seen.get(blocks[i]) != null) {
 			this.seen.put(blocks[i], true);
--- a/src/test/java/io/shallotspur/admission/FairQueueTests.java
+++ b/src/test/java/io/shallotspur/admission/FairQueueTests.java
@@ -20,9 +20,9 @@
 	}
 
 	private Entry next(double cost) {
-		Entry e = this.queue.firstInOrder(10, (x) -> true);
+		Entry e = this.queue.findNext(10, (x) -> true);
 		assertThat(e).isNotNull();
-		this.queue.start(e, cost);
+		this.queue.dispatch(e, cost);
 		return e;
 	}
 
@@ -89,7 +89,7 @@
 	void forgetsCustomersThatOweNothing() {
 		for (int i = 0; i < 1000; i++) {
 			Entry e = add("c" + i, 1, i);
-			this.queue.start(e, 10);
+			this.queue.dispatch(e, 10);
 			this.queue.charge("c" + i, -10);
 		}
 		assertThat(this.queue.flowCount()).isLessThan(5);
--- a/src/test/java/io/shallotspur/cell/PlacementBenchmark.java
+++ b/src/test/java/io/shallotspur/cell/PlacementBenchmark.java
@@ -24,8 +24,8 @@
 import io.shallotspur.fleet.Worker;
 import io.shallotspur.fleet.WorkerRole;
 import io.shallotspur.routing.Cell;
-import io.shallotspur.routing.CellPlan;
-import io.shallotspur.routing.LengthSample;
+import io.shallotspur.routing.CellLayout;
+import io.shallotspur.routing.OutputLengthSample;
 import io.shallotspur.routing.PrefillWorker;
 
 /**
@@ -57,13 +57,13 @@
 	@Param({ "2", "1000", "33000" })
 	public int customers;
 
-	private CellPlan plan = CellPlan.of(List.of());
+	private CellLayout plan = CellLayout.of(List.of());
 
 	private final Map<String, CellFleet> fleets = new HashMap<>();
 
 	private final List<ModelRequest> requests = new ArrayList<>();
 
-	private final LengthSample lengths = new LengthSample(200);
+	private final OutputLengthSample lengths = new OutputLengthSample(200);
 
 	private final FairQueue<Job> queue = new FairQueue<>((c) -> 0.01);
 
@@ -79,13 +79,13 @@
 			WorkerRole role = (i % 2 == 0) ? WorkerRole.PREFILL : WorkerRole.DECODE;
 			all.add(new Worker("w" + i, "llm", "hall-" + (i / 2 % 5), role, "", 20, 24_000, 800, 3000, 0.1));
 		}
-		this.plan = CellPlan.of(all);
+		this.plan = CellLayout.of(all);
 		Random random = new Random(1);
 		for (Cell c : this.plan.cells()) {
 			CellFleet f = new CellFleet(CellSettings.defaults());
 			c.workers().forEach(f::add);
 			for (PrefillWorker p : f.prefill()) {
-				p.index().store(preamble(random.nextInt(PREAMBLES)), 0);
+				p.prefixIndex().recordPrompt(preamble(random.nextInt(PREAMBLES)), 0);
 			}
 			this.fleets.put(c.id(), f);
 		}
@@ -108,12 +108,12 @@
 		Cell cell = this.plan.locate("llm", r.prefixBlocks()[0]).orElseThrow();
 		Placer placer = new Placer(this.fleets.get(cell.id()), CellSettings.defaults(), 0.3, 0);
 		Placement[] chosen = new Placement[1];
-		Job next = this.queue.firstInOrder(1, (j) -> {
+		Job next = this.queue.findNext(1, (j) -> {
 			chosen[0] = placer.place(j, 2000);
 			return true;
 		});
 		if (next != null) {
-			this.queue.start(next, 500);
+			this.queue.dispatch(next, 500);
 			this.queue.add(job(r, next.flow()));
 		}
 		return chosen[0];
--- a/src/test/java/io/shallotspur/retry/RetryTests.java
+++ b/src/test/java/io/shallotspur/retry/RetryTests.java
@@ -19,14 +19,14 @@
 		RetryBudget budget = new RetryBudget();
 		OutlierDetector detector = new OutlierDetector();
 		for (int w = 0; w < WORKERS; w++) {
-			detector.added("w" + w);
+			detector.addWorker("w" + w);
 		}
 		int sent = 0;
 		int first = 20_000;
 		int failed = 0;
 		for (int i = 0; i < first; i++) {
 			long now = i * 5L;
-			budget.firstTry("c", now);
+			budget.recordFirstAttempt("c", now);
 			boolean ok = call(detector, rnd, now);
 			sent++;
 			while (!ok && budget.tryRetry("c", now)) {
@@ -45,7 +45,7 @@
 		RetryBudget budget = new RetryBudget();
 		int retries = 0;
 		for (int i = 0; i < 10_000; i++) {
-			budget.firstTry("c", i);
+			budget.recordFirstAttempt("c", i);
 			while (budget.tryRetry("c", i)) {
 				retries++;
 			}
@@ -59,43 +59,43 @@
 	@Test
 	void ejectedWorkerIsProbedByOneCallAndComesBack() {
 		OutlierDetector d = new OutlierDetector();
-		d.added("a");
-		d.added("b");
+		d.addWorker("a");
+		d.addWorker("b");
 		for (int i = 0; i < 3; i++) {
-			d.failed("a", 0);
-			d.failed("b", 0);
+			d.recordFailure("a", 0);
+			d.recordFailure("b", 0);
 		}
-		assertThat(d.health("a", 999)).isEqualTo(WorkerHealth.OUT);
-		assertThat(d.health("b", 999)).as("the cap keeps one of two in").isEqualTo(WorkerHealth.IN);
+		assertThat(d.health("a", 999)).isEqualTo(WorkerHealth.EJECTED);
+		assertThat(d.health("b", 999)).as("the cap keeps one of two in").isEqualTo(WorkerHealth.HEALTHY);
 		assertThat(d.health("a", 1_000)).isEqualTo(WorkerHealth.PROBE);
-		d.started("a", 1_000);
-		assertThat(d.health("a", 1_001)).as("one probe at a time").isEqualTo(WorkerHealth.OUT);
-		d.failed("a", 1_010);
-		assertThat(d.health("a", 3_009)).as("the ejection doubles").isEqualTo(WorkerHealth.OUT);
-		d.succeeded("a", 5, 3_100);
+		d.recordStart("a", 1_000);
+		assertThat(d.health("a", 1_001)).as("one probe at a time").isEqualTo(WorkerHealth.EJECTED);
+		d.recordFailure("a", 1_010);
+		assertThat(d.health("a", 3_009)).as("the ejection doubles").isEqualTo(WorkerHealth.EJECTED);
+		d.recordSuccess("a", 5, 3_100);
 		assertThat(d.health("a", 3_100)).as("no probe was sent").isEqualTo(WorkerHealth.PROBE);
-		d.started("a", 3_100);
-		d.succeeded("a", 5, 3_100);
+		d.recordStart("a", 3_100);
+		d.recordSuccess("a", 5, 3_100);
 		assertThat(d.health("a", 3_100)).isEqualTo(WorkerHealth.PROBE);
-		d.started("a", 3_200);
-		d.succeeded("a", 5, 3_200);
-		assertThat(d.health("a", 3_200)).isEqualTo(WorkerHealth.IN);
+		d.recordStart("a", 3_200);
+		d.recordSuccess("a", 5, 3_200);
+		assertThat(d.health("a", 3_200)).isEqualTo(WorkerHealth.HEALTHY);
 	}
 
 	@Test
 	void slowWorkerIsEjected() {
 		// Its late answers to calls sent before the ejection must not bring it back.
 		OutlierDetector d = new OutlierDetector();
-		d.added("slow");
-		d.added("b");
-		d.added("c");
+		d.addWorker("slow");
+		d.addWorker("b");
+		d.addWorker("c");
 		for (int i = 0; i < 30; i++) {
-			d.succeeded("b", 10, i);
-			d.succeeded("c", 12, i);
-			d.succeeded("slow", 500, i);
+			d.recordSuccess("b", 10, i);
+			d.recordSuccess("c", 12, i);
+			d.recordSuccess("slow", 500, i);
 		}
-		assertThat(d.health("slow", 30)).isEqualTo(WorkerHealth.OUT);
-		assertThat(d.health("b", 30)).isEqualTo(WorkerHealth.IN);
+		assertThat(d.health("slow", 30)).isEqualTo(WorkerHealth.EJECTED);
+		assertThat(d.health("b", 30)).isEqualTo(WorkerHealth.HEALTHY);
 	}
 
 	@Test
@@ -118,14 +118,14 @@
 		do {
 			w = "w" + rnd.nextInt(WORKERS);
 		}
-		while (d.health(w, now) == WorkerHealth.OUT);
-		d.started(w, now);
+		while (d.health(w, now) == WorkerHealth.EJECTED);
+		d.recordStart(w, now);
 		boolean ok = w.compareTo("w3") >= 0;
 		if (ok) {
-			d.succeeded(w, 20, now);
+			d.recordSuccess(w, 20, now);
 		}
 		else {
-			d.failed(w, now);
+			d.recordFailure(w, now);
 		}
 		return ok;
 	}
--- a/src/test/java/io/shallotspur/routing/CellPlanTests.java
+++ b/src/test/java/io/shallotspur/routing/CellPlanTests.java
@@ -23,9 +23,9 @@
 		return l;
 	}
 
-	private static void assertSound(CellPlan plan) {
+	private static void assertSound(CellLayout plan) {
 		for (Cell c : plan.cells()) {
-			assertThat(c.workers()).hasSizeLessThanOrEqualTo(CellPlan.MAX_WORKERS);
+			assertThat(c.workers()).hasSizeLessThanOrEqualTo(CellLayout.MAX_WORKERS);
 			assertThat(c.workers()).anyMatch((w) -> w.role() == WorkerRole.PREFILL);
 			assertThat(c.workers()).anyMatch((w) -> w.role() == WorkerRole.DECODE);
 		}
@@ -36,18 +36,18 @@
 		List<Worker> l = new ArrayList<>(workers("llm", "x", 2, 1));
 		l.addAll(workers("llm", "y", 2, 1));
 		l.addAll(workers("llm", "z", 1, 1));
-		CellPlan plan = CellPlan.of(l);
+		CellLayout plan = CellLayout.of(l);
 		assertThat(plan.cells()).singleElement().satisfies((c) -> assertThat(c.workers()).hasSize(8));
-		assertThat(plan.spare()).isEmpty();
+		assertThat(plan.unassignedWorkers()).isEmpty();
 	}
 
 	@Test
 	void largeHallsFormCellsOfTheirOwn() {
 		List<Worker> l = new ArrayList<>(workers("llm", "x", 300, 400));
 		l.addAll(workers("llm", "y", 200, 200));
-		CellPlan plan = CellPlan.of(l);
+		CellLayout plan = CellLayout.of(l);
 		assertSound(plan);
-		assertThat(plan.spare()).isEmpty();
+		assertThat(plan.unassignedWorkers()).isEmpty();
 		plan.cells().forEach((c) -> assertThat(c.workers()).extracting(Worker::hall).containsOnly(hallOf(c)));
 	}
 
@@ -61,9 +61,9 @@
 		// idle; they join the hall that has prefill workers.
 		List<Worker> l = new ArrayList<>(workers("llm", "x", 6, 4));
 		l.addAll(workers("llm", "y", 0, 5));
-		CellPlan plan = CellPlan.of(l);
+		CellLayout plan = CellLayout.of(l);
 		assertSound(plan);
-		assertThat(plan.spare()).isEmpty();
+		assertThat(plan.unassignedWorkers()).isEmpty();
 		assertThat(plan.cellOf("llm-y-0")).isPresent();
 	}
 
@@ -72,12 +72,12 @@
 		// At the size to come a worker fails every few minutes. If each failure shuffled
 		// the cells, all prefix knowledge and all reservations would be lost each time.
 		List<Worker> l = workers("llm", "x", 60, 80);
-		Map<String, String> before = cells(CellPlan.of(l));
+		Map<String, String> before = cells(CellLayout.of(l));
 		int moved = 0;
 		for (int i = 0; i < 20; i++) {
 			List<Worker> less = new ArrayList<>(l);
 			less.remove(i * 7);
-			Map<String, String> after = cells(CellPlan.of(less));
+			Map<String, String> after = cells(CellLayout.of(less));
 			moved += (int) after.entrySet()
 				.stream()
 				.filter((e) -> !e.getValue().equals(before.get(e.getKey())))
@@ -86,7 +86,7 @@
 		assertThat(moved / 20.0).isLessThan(4);
 	}
 
-	private static Map<String, String> cells(CellPlan plan) {
+	private static Map<String, String> cells(CellLayout plan) {
 		Map<String, String> m = new HashMap<>();
 		plan.cells().forEach((c) -> c.workers().forEach((w) -> m.put(w.id(), c.id())));
 		return m;
@@ -96,17 +96,17 @@
 	void nodeThatGoesMovesOnlyItsOwnCells() {
 		List<String> nodes = List.of("n1", "n2", "n3", "n4", "n5");
 		List<String> left = List.of("n1", "n2", "n4", "n5");
-		for (Cell c : CellPlan.of(workers("llm", "x", 60, 80)).cells()) {
-			String owner = CellPlan.owner(c.id(), nodes).orElseThrow();
+		for (Cell c : CellLayout.of(workers("llm", "x", 60, 80)).cells()) {
+			String owner = CellLayout.owner(c.id(), nodes).orElseThrow();
 			if (!owner.equals("n3")) {
-				assertThat(CellPlan.owner(c.id(), left)).contains(owner);
+				assertThat(CellLayout.owner(c.id(), left)).contains(owner);
 			}
 		}
 	}
 
 	@Test
 	void keysAreSpreadOverTheCells() {
-		CellPlan plan = CellPlan.of(workers("llm", "x", 60, 80));
+		CellLayout plan = CellLayout.of(workers("llm", "x", 60, 80));
 		Map<String, Integer> counts = new HashMap<>();
 		for (long k = 0; k < 10_000; k++) {
 			counts.merge(plan.locate("llm", k).orElseThrow().id(), 1, Integer::sum);
