--- a/src/main/java/io/shallotspur/adapter/admin/AdminServer.java
+++ b/src/main/java/io/shallotspur/adapter/admin/AdminServer.java
@@ -159,17 +159,17 @@
 		return BodyReader.read(q.receive().asByteArray(), this.settings.maxBodyBytes(), customer)
 			.map((body) -> read(body, customer))
 			.flatMap((c) -> change(q, c, expected))
-			.flatMap((c) -> Mono.from(contract(s, (expected == ContractChange.NEW) ? CREATED : OK, c)))
+			.flatMap((c) -> Mono.from(contract(s, (expected == ContractChange.ABSENT) ? CREATED : OK, c)))
 			.onErrorResume((ex) -> Mono.from(failed(s, ex)));
 	}
 
 	private Publisher<Void> retire(HttpServerRequest q, HttpServerResponse s) throws ShallotspurException {
 		long expected = expected(q);
 		Contract held = this.sources.contracts().get().find(customer(q)).orElse(null);
-		if (held == null || expected == ContractChange.NEW) {
+		if (held == null || expected == ContractChange.ABSENT) {
 			return problem(s, AdminProblem.of("unknown-customer", NOT_FOUND, "No contract is in force."));
 		}
-		return change(q, held.withRetired(), expected).flatMap((c) -> Mono.from(contract(s, OK, c)))
+		return change(q, held.toTombstone(), expected).flatMap((c) -> Mono.from(contract(s, OK, c)))
 			.onErrorResume((ex) -> Mono.from(failed(s, ex)));
 	}
 
@@ -185,7 +185,7 @@
 		String match = q.requestHeaders().get("If-Match");
 		if (match == null) {
 			if ("*".equals(q.requestHeaders().get("If-None-Match"))) {
-				return ContractChange.NEW;
+				return ContractChange.ABSENT;
 			}
 			throw new PreconditionMissingException("Send If-Match with the ETag you have seen, or If-None-Match: *.");
 		}
@@ -203,7 +203,7 @@
 
 	private static Contract read(byte[] body, String customer) {
 		try {
-			return ContractJson.read(body, customer);
+			return ContractJson.readContract(body, customer);
 		}
 		catch (ContractInvalidException ex) {
 			throw Exceptions.propagate(ex);
--- a/src/main/java/io/shallotspur/cell/CellObserver.java
+++ b/src/main/java/io/shallotspur/cell/CellObserver.java
@@ -40,7 +40,7 @@
 				j.generated += e.count();
 				j.decodedHere += e.count();
 				if (this.flow.clearIfProven(j)) {
-					this.crashes.proven(j.request.fingerprint(), now);
+					this.crashes.recordProgress(j.request.fingerprint(), now);
 				}
 			}
 		}
--- a/src/main/java/io/shallotspur/cell/CellSuspects.java
+++ b/src/main/java/io/shallotspur/cell/CellSuspects.java
@@ -46,7 +46,7 @@
 		Collection<Long> running = new HashSet<>();
 		onWorker.stream().filter((j) -> j.stage == Stage.DECODING).forEach((j) -> running.add(this.flow.atCrash(j)));
 		if (!running.isEmpty()) {
-			this.crashes.workerCrashed(worker, running, now);
+			this.crashes.recordCrash(worker, running, now);
 		}
 	}
 
--- a/src/main/java/io/shallotspur/cell/StdCellScheduler.java
+++ b/src/main/java/io/shallotspur/cell/StdCellScheduler.java
@@ -212,7 +212,7 @@
 
 	private void decodeDone(Job j, long now) {
 		this.lengths.observe(j.customer(), j.request.className(), j.generated);
-		this.crashes.completed(j.request.fingerprint(), now);
+		this.crashes.recordCompletion(j.request.fingerprint(), now);
 		this.flow.complete(j, now);
 	}
 
--- a/src/main/java/io/shallotspur/contract/BearerKey.java
+++ b/src/main/java/io/shallotspur/contract/BearerKey.java
@@ -41,7 +41,7 @@
 	 * @param credentials the value of an {@code Authorization} field
 	 * @return the hash, or empty if the value is not one bearer token
 	 */
-	public static Optional<String> hashOf(String credentials) {
+	public static Optional<String> hashCredentials(String credentials) {
 		Matcher m = CREDENTIALS.matcher(credentials);
 		return m.matches() ? Optional.of(hash(m.group(1))) : Optional.empty();
 	}
--- a/src/main/java/io/shallotspur/contract/Contract.java
+++ b/src/main/java/io/shallotspur/contract/Contract.java
@@ -48,7 +48,7 @@
 	 * Returns the tombstone of this contract.
 	 * @return a new contract that is retired
 	 */
-	public Contract withRetired() {
+	public Contract toTombstone() {
 		return new Contract(this.customer, this.revision, this.share, this.keyHashes, this.classes, true);
 	}
 
--- a/src/main/java/io/shallotspur/contract/ContractValidator.java
+++ b/src/main/java/io/shallotspur/contract/ContractValidator.java
@@ -17,9 +17,9 @@
 	/**
 	 * Shares are decimal fractions: ten of 0.1 must not fail for their rounding.
 	 */
-	private static final double ROUNDING = 1e-9;
+	private static final double SHARE_TOLERANCE = 1e-9;
 
-	private static final String POSITIVE = "a whole number of milliseconds over 0";
+	private static final String POSITIVE_DURATION = "a whole number of milliseconds over 0";
 
 	private ContractValidator() {
 	}
@@ -37,21 +37,21 @@
 			if (c.retired()) {
 				continue;
 			}
-			validateOne(c, problems);
+			validateContract(c, problems);
 			if (!customers.add(c.customer())) {
 				problems.add(c.customer(), "is there twice", "one contract for each customer");
 			}
-			c.keyHashes().stream().filter((k) -> !keyHashes.add(k)).forEach((k) -> sharedKey(c, problems));
+			c.keyHashes().stream().filter((k) -> !keyHashes.add(k)).forEach((k) -> addDuplicateKey(c, problems));
 			upstreams(c).forEach((u) -> shares.merge(u, c.share(), Double::sum));
 		}
 		shares.forEach((upstream, sum) -> {
-			if (sum > 1 + ROUNDING) {
+			if (sum > 1 + SHARE_TOLERANCE) {
 				problems.add("upstream " + upstream, "shares add up to " + sum, "at most 1");
 			}
 		});
 	}
 
-	private static void validateOne(Contract c, Problems problems) {
+	private static void validateContract(Contract c, Problems problems) {
 		if (c.customer().isBlank()) {
 			problems.add("customer", "is empty", "a name");
 		}
@@ -92,11 +92,11 @@
 
 	private static void requirePositive(String key, long value, Problems problems) {
 		if (value <= 0) {
-			problems.add(key, "is " + value, POSITIVE);
+			problems.add(key, "is " + value, POSITIVE_DURATION);
 		}
 	}
 
-	private static void sharedKey(Contract c, Problems problems) {
+	private static void addDuplicateKey(Contract c, Problems problems) {
 		problems.add(c.customer() + ".key_hashes", "has a hash that is there twice", "hashes that name one customer");
 	}
 
--- a/src/main/java/io/shallotspur/demo/CapacityScheduling.java
+++ b/src/main/java/io/shallotspur/demo/CapacityScheduling.java
@@ -167,7 +167,7 @@
 		for (long now = 1; now <= n / perMs; now++) {
 			List<Long> done = ends.remove(now);
 			for (long attempt : (done != null) ? done : List.<Long>of()) {
-				s.handle(new PlainEvent.CallDone(attempt), now, actions::add);
+				s.handle(new PlainEvent.CallCompleted(attempt), now, actions::add);
 			}
 			for (int i = 0; i < perMs; i++) {
 				long k = now * perMs + i;
--- a/src/main/java/io/shallotspur/demo/CapacityState.java
+++ b/src/main/java/io/shallotspur/demo/CapacityState.java
@@ -95,7 +95,7 @@
 			ContractTable t = contractTable(n);
 			long[] revision = { 1 };
 			return this.table.micros(20, (i) -> {
-				t.adopt(ClusterMeasure.terms("c1", 0.1).withRevision(++revision[0]));
+				t.updateIfNewer(ClusterMeasure.terms("c1", 0.1).withRevision(++revision[0]));
 				t.snapshot();
 			});
 		});
@@ -209,7 +209,7 @@
 	private static ContractTable contractTable(int n) {
 		ContractTable t = new ContractTable();
 		for (int i = 0; i < n; i++) {
-			t.adopt(ClusterMeasure.terms("c" + i, 1.0 / n).withRevision(1));
+			t.updateIfNewer(ClusterMeasure.terms("c" + i, 1.0 / n).withRevision(1));
 		}
 		return t;
 	}
--- a/src/main/java/io/shallotspur/demo/FailureLoad.java
+++ b/src/main/java/io/shallotspur/demo/FailureLoad.java
@@ -107,7 +107,7 @@
 				for (int n = 0; n < NEIGHBOURS; n++) {
 					running.add(fp++);
 				}
-				entry.workerCrashed("w" + crash(backAt, now), running, now);
+				entry.recordCrash("w" + crash(backAt, now), running, now);
 				crashes++;
 				tell(nodes, entry, now);
 				complete(nodes, entry, running, poison, now + 500);
@@ -135,14 +135,14 @@
 		for (long r : running) {
 			if (r != poison) {
 				this.wronglyRefused += entry.isQuarantined(r, now) ? 1 : 0;
-				entry.completed(r, now);
+				entry.recordCompletion(r, now);
 			}
 		}
 		tell(nodes, entry, now);
 	}
 
 	private static void tell(List<CrashSuspects> nodes, CrashSuspects from, long now) {
-		List<SuspectEntry> l = from.takeChanges(now);
+		List<SuspectEntry> l = from.drainChanges(now);
 		nodes.stream().filter((n) -> n != from).forEach((n) -> n.merge(l, now));
 	}
 
--- a/src/main/java/io/shallotspur/distribution/ContractBucket.java
+++ b/src/main/java/io/shallotspur/distribution/ContractBucket.java
@@ -25,7 +25,7 @@
 	 * A lost answer is settled within seconds. To overlook its change it would take this
 	 * many other changes of the same bucket meanwhile.
 	 */
-	private static final int KEPT_CHANGES = 32;
+	private static final int MAX_RECORDED_CHANGES = 32;
 
 	ContractBucket {
 		contracts = List.copyOf(contracts);
@@ -40,14 +40,14 @@
 		return this.changes.stream().filter((c) -> c.id().equals(id)).findFirst();
 	}
 
-	ContractBucket with(ContractChange change) {
+	ContractBucket withChange(ContractChange change) {
 		long next = this.revision + 1;
 		List<Contract> l = new ArrayList<>(this.contracts);
 		l.removeIf((c) -> c.customer().equals(change.contract().customer()));
 		l.add(change.contract().withRevision(next));
 		List<Change> h = new ArrayList<>(this.changes);
 		h.add(new Change(change.changeId(), next));
-		return new ContractBucket(next, l, h.subList(Math.max(0, h.size() - KEPT_CHANGES), h.size()));
+		return new ContractBucket(next, l, h.subList(Math.max(0, h.size() - MAX_RECORDED_CHANGES), h.size()));
 	}
 
 	/**
--- a/src/main/java/io/shallotspur/distribution/ContractJson.java
+++ b/src/main/java/io/shallotspur/distribution/ContractJson.java
@@ -52,7 +52,7 @@
 	 * @return the contract with revision 0, not yet validated
 	 * @throws ContractInvalidException if it is malformed or about someone else
 	 */
-	public static Contract read(byte[] body, String customer) throws ContractInvalidException {
+	public static Contract readContract(byte[] body, String customer) throws ContractInvalidException {
 		Contract c = parse(body, customer);
 		if (!customer.equals(c.customer())) {
 			throw new ContractInvalidException("the contract is about another customer: " + c.customer(), customer);
--- a/src/main/java/io/shallotspur/distribution/ContractMessage.java
+++ b/src/main/java/io/shallotspur/distribution/ContractMessage.java
@@ -36,9 +36,9 @@
 	 * Tells whether two tables are equal.
 	 *
 	 * @param ready whether the table is complete
-	 * @param groups hashes of the groups; empty if the tables are equal
+	 * @param groupDigests hashes of the groups; empty if the tables are equal
 	 */
-	record DigestReply(boolean ready, long[] groups) implements ContractMessage {
+	record DigestReply(boolean ready, long[] groupDigests) implements ContractMessage {
 
 	}
 
@@ -54,9 +54,9 @@
 	/**
 	 * The hashes of the leaves, in the order asked.
 	 *
-	 * @param leaves the hashes
+	 * @param leafDigests the hashes
 	 */
-	record LeavesReply(long[] leaves) implements ContractMessage {
+	record LeavesReply(long[] leafDigests) implements ContractMessage {
 
 	}
 
@@ -64,12 +64,12 @@
 	 * Asks for what is newer in some leaves.
 	 *
 	 * @param leaves the leaves
-	 * @param held what the asker holds in them
+	 * @param heldRevisions what the asker holds in them
 	 */
-	record ContractsRequest(int[] leaves, List<Held> held) implements ContractMessage {
+	record ContractsRequest(int[] leaves, List<HeldRevision> heldRevisions) implements ContractMessage {
 
 		public ContractsRequest {
-			held = List.copyOf(held);
+			heldRevisions = List.copyOf(heldRevisions);
 		}
 
 	}
@@ -80,7 +80,7 @@
 	 * @param customer the customer
 	 * @param revision the revision
 	 */
-	record Held(String customer, long revision) {
+	record HeldRevision(String customer, long revision) {
 
 	}
 
@@ -101,9 +101,9 @@
 	 * Asks for all contracts as a stream of {@link ContractsReply}. Fails if the peer's
 	 * own table is not complete.
 	 *
-	 * @param from who asks
+	 * @param requesterId who asks
 	 */
-	record SnapshotRequest(String from) implements ContractMessage {
+	record SnapshotRequest(String requesterId) implements ContractMessage {
 
 	}
 
--- a/src/main/java/io/shallotspur/distribution/ContractStore.java
+++ b/src/main/java/io/shallotspur/distribution/ContractStore.java
@@ -30,13 +30,13 @@
 	 * All records with contracts have keys under this prefix, followed by three
 	 * hexadecimal digits of the customer's bucket.
 	 */
-	public static final String PREFIX = "contracts/";
+	public static final String KEY_PREFIX = "contracts/";
 
-	private static final int BUCKETS = 4096;
+	private static final int BUCKET_COUNT = 4096;
 
-	private static final int MAX_TRIES = 8;
+	private static final int MAX_ATTEMPTS = 8;
 
-	private static final long RETRY_MS = 50;
+	private static final long RETRY_DELAY_MS = 50;
 
 	private static final LongHashFunction HASH = LongHashFunction.xx3();
 
@@ -71,8 +71,8 @@
 	 * @param digits the first digits of the buckets that are wanted, or empty for all
 	 * @return the contracts, tombstones among them
 	 */
-	public Mono<List<Contract>> read(String digits) {
-		return this.store.list(PREFIX + digits).map(ContractStore::contracts);
+	public Mono<List<Contract>> list(String digits) {
+		return this.store.list(KEY_PREFIX + digits).map(ContractStore::contracts);
 	}
 
 	/**
@@ -81,23 +81,23 @@
 	 * is lost
 	 */
 	public Flux<List<Contract>> watch() {
-		return this.store.watch(PREFIX).map((rec) -> contracts(List.of(rec)));
+		return this.store.watch(KEY_PREFIX).map((rec) -> contracts(List.of(rec)));
 	}
 
 	static String key(String customer) {
-		return PREFIX + String.format("%03x", Math.floorMod(HASH.hashChars(customer), (long) BUCKETS));
+		return KEY_PREFIX + String.format("%03x", Math.floorMod(HASH.hashChars(customer), (long) BUCKET_COUNT));
 	}
 
 	private Mono<Contract> attempt(ContractChange change, int number, boolean uncertain) {
 		String key = key(change.contract().customer());
 		return this.store.get(key)
-			.map((rec) -> bucketOf(rec))
+			.map((rec) -> readBucket(rec))
 			.defaultIfEmpty(new Versioned(KvStore.ABSENT, ContractBucket.EMPTY))
-			.onErrorMap((ex) -> uncertain, (ex) -> unknown(key, ex))
-			.flatMap((v) -> swap(change, key, v, number, uncertain));
+			.onErrorMap((ex) -> uncertain, (ex) -> outcomeUnknown(key, ex))
+			.flatMap((v) -> compareAndSwap(change, key, v, number, uncertain));
 	}
 
-	private Mono<Contract> swap(ContractChange change, String key, Versioned v, int number, boolean uncertain) {
+	private Mono<Contract> compareAndSwap(ContractChange change, String key, Versioned v, int number, boolean uncertain) {
 		ContractBucket.Change done = v.bucket().findChange(change.changeId()).orElse(null);
 		if (done != null) {
 			return Mono.just(change.contract().withRevision(done.revision()));
@@ -106,16 +106,16 @@
 			.find(change.contract().customer())
 			.filter((c) -> !c.retired())
 			.map(Contract::revision)
-			.orElse(ContractChange.NEW);
-		if (change.expected() != ContractChange.ANY && change.expected() != current) {
+			.orElse(ContractChange.ABSENT);
+		if (change.expectedRevision() != ContractChange.ANY_REVISION && change.expectedRevision() != current) {
 			// An earlier try of this change whose answer was lost can no longer take
 			// effect: the record has moved on from the version it expects, and the list
 			// of changes would name it if it had.
 			return Mono.error(new ContractConflictException(
-					"the contract has revision " + current + ", the change expects " + change.expected(),
+					"the contract has revision " + current + ", the change expects " + change.expectedRevision(),
 					change.contract().customer(), current));
 		}
-		ContractBucket next = v.bucket().with(change);
+		ContractBucket next = v.bucket().withChange(change);
 		return this.store.compareAndSwap(key, v.version(), ContractJson.writeBucket(next))
 			.thenReturn(change.contract().withRevision(next.revision()))
 			.onErrorResume(StoreException.class, (ex) -> retry(change, key, ex, number, uncertain));
@@ -125,24 +125,24 @@
 		boolean conflict = ex instanceof StoreConflictException;
 		boolean lost = uncertain || ex instanceof StoreUnknownException;
 		if (!conflict && !(ex instanceof StoreUnknownException)) {
-			return Mono.error(uncertain ? unknown(key, ex) : ex);
+			return Mono.error(uncertain ? outcomeUnknown(key, ex) : ex);
 		}
-		if (number >= MAX_TRIES) {
-			return Mono.error(lost ? unknown(key, ex)
+		if (number >= MAX_ATTEMPTS) {
+			return Mono.error(lost ? outcomeUnknown(key, ex)
 					: new StoreUnavailableException("too many others write this record; try again", key, ex));
 		}
 		// A lost answer must be settled before the operator is told anything. The next
 		// try expects the version that it reads, so that of two tries that are still
 		// under way one at most takes effect.
 		Mono<Contract> again = Mono.defer(() -> attempt(change, number + 1, lost));
-		return this.delay.apply(RETRY_MS * number).then(again);
+		return this.delay.apply(RETRY_DELAY_MS * number).then(again);
 	}
 
-	private static StoreUnknownException unknown(String key, Throwable ex) {
+	private static StoreUnknownException outcomeUnknown(String key, Throwable ex) {
 		return new StoreUnknownException("the change may have been accepted; send the same change again", key, ex);
 	}
 
-	private static Versioned bucketOf(StoreRecord rec) {
+	private static Versioned readBucket(StoreRecord rec) {
 		try {
 			return new Versioned(rec.version(), ContractJson.readBucket(rec));
 		}
@@ -153,7 +153,7 @@
 
 	private static List<Contract> contracts(List<StoreRecord> records) {
 		List<Contract> l = new ArrayList<>();
-		records.forEach((rec) -> l.addAll(bucketOf(rec).bucket().contracts()));
+		records.forEach((rec) -> l.addAll(readBucket(rec).bucket().contracts()));
 		return l;
 	}
 
--- a/src/main/java/io/shallotspur/distribution/ContractTable.java
+++ b/src/main/java/io/shallotspur/distribution/ContractTable.java
@@ -25,7 +25,7 @@
 	/**
 	 * Number of groups of leaves.
 	 */
-	public static final int GROUPS = 32;
+	public static final int GROUP_COUNT = 32;
 
 	/**
 	 * Number of leaves in each group.
@@ -38,7 +38,7 @@
 
 	private final List<Map<String, Contract>> leaves = new ArrayList<>();
 
-	private final long[] digests = new long[GROUPS * LEAVES_PER_GROUP];
+	private final long[] leafDigests = new long[GROUP_COUNT * LEAVES_PER_GROUP];
 
 	private @Nullable ContractSet snapshot;
 
@@ -46,7 +46,7 @@
 	 * Creates an empty table.
 	 */
 	public ContractTable() {
-		for (int i = 0; i < this.digests.length; i++) {
+		for (int i = 0; i < this.leafDigests.length; i++) {
 			this.leaves.add(new HashMap<>());
 		}
 	}
@@ -56,15 +56,15 @@
 	 * @param c the contract, or its tombstone
 	 * @return whether it was newer
 	 */
-	public boolean adopt(Contract c) {
+	public boolean updateIfNewer(Contract c) {
 		Contract old = this.contracts.get(c.customer());
 		if (old != null && old.revision() >= c.revision()) {
 			return false;
 		}
-		int leaf = leaf(c.customer());
+		int leaf = leafIndex(c.customer());
 		this.contracts.put(c.customer(), c);
 		this.leaves.get(leaf).put(c.customer(), c);
-		this.digests[leaf] ^= digest(c) ^ ((old != null) ? digest(old) : 0);
+		this.leafDigests[leaf] ^= digest(c) ^ ((old != null) ? digest(old) : 0);
 		this.snapshot = null;
 		return true;
 	}
@@ -103,17 +103,17 @@
 	 * @return the hash
 	 */
 	public long digest() {
-		return HASH.hashLongs(this.digests);
+		return HASH.hashLongs(this.leafDigests);
 	}
 
 	/**
 	 * Returns the hashes of the groups.
-	 * @return {@link #GROUPS} hashes
+	 * @return {@link #GROUP_COUNT} hashes
 	 */
-	public long[] groups() {
-		long[] g = new long[GROUPS];
-		for (int i = 0; i < GROUPS; i++) {
-			g[i] = HASH.hashLongs(leavesOf(i));
+	public long[] groupDigests() {
+		long[] g = new long[GROUP_COUNT];
+		for (int i = 0; i < GROUP_COUNT; i++) {
+			g[i] = HASH.hashLongs(leafDigests(i));
 		}
 		return g;
 	}
@@ -123,11 +123,11 @@
 	 * @param group the group
 	 * @return {@link #LEAVES_PER_GROUP} hashes; empty if there is no such group
 	 */
-	public long[] leavesOf(int group) {
-		if (group < 0 || group >= GROUPS) {
+	public long[] leafDigests(int group) {
+		if (group < 0 || group >= GROUP_COUNT) {
 			return new long[0];
 		}
-		return Arrays.copyOfRange(this.digests, group * LEAVES_PER_GROUP, (group + 1) * LEAVES_PER_GROUP);
+		return Arrays.copyOfRange(this.leafDigests, group * LEAVES_PER_GROUP, (group + 1) * LEAVES_PER_GROUP);
 	}
 
 	/**
@@ -135,12 +135,12 @@
 	 * @param leaf the leaf, counted over all groups
 	 * @return an unmodifiable view; empty if there is no such leaf
 	 */
-	public Collection<Contract> inLeaf(int leaf) {
-		return (leaf >= 0 && leaf < this.digests.length) ? this.leaves.get(leaf).values() : List.of();
+	public Collection<Contract> contractsInLeaf(int leaf) {
+		return (leaf >= 0 && leaf < this.leafDigests.length) ? this.leaves.get(leaf).values() : List.of();
 	}
 
-	private static int leaf(String customer) {
-		return (int) Math.floorMod(HASH.hashChars(customer), (long) GROUPS * LEAVES_PER_GROUP);
+	private static int leafIndex(String customer) {
+		return (int) Math.floorMod(HASH.hashChars(customer), (long) GROUP_COUNT * LEAVES_PER_GROUP);
 	}
 
 	private static long digest(Contract c) {
--- a/src/main/java/io/shallotspur/node/PlainCallService.java
+++ b/src/main/java/io/shallotspur/node/PlainCallService.java
@@ -210,7 +210,7 @@
 	}
 
 	private void dispatch(PlainSession s, PlainAction.StartCall a) {
-		Mono<PlainReply> m = this.ports.worker(a.worker())
+		Mono<PlainReply> m = this.ports.worker(a.workerId())
 			.flatMap((w) -> this.ports.service().call(w, s.task().call()));
 		s.running(m.subscribe((r) -> this.loop.run(() -> answered(s, a.attempt(), r)),
 				(ex) -> this.loop.run(() -> failed(s, a.attempt(), ex))));
@@ -223,7 +223,7 @@
 		}
 		if (!s.ended()) {
 			s.reply(reply);
-			this.loop.deliver(new PlainEvent.CallDone(attempt));
+			this.loop.deliver(new PlainEvent.CallCompleted(attempt));
 			end(s);
 		}
 		else {
@@ -243,7 +243,7 @@
 		if (s.intentHeld() && !notRun) {
 			settle(s, false);
 		}
-		this.loop.deliver(notRun ? new PlainEvent.CallNotRun(attempt) : new PlainEvent.CallLost(attempt));
+		this.loop.deliver(notRun ? new PlainEvent.CallNotRun(attempt) : new PlainEvent.CallOutcomeUnknown(attempt));
 	}
 
 	private void cancel(PlainAction.CancelCall a) {
--- a/src/main/java/io/shallotspur/node/cluster/ContractLoop.java
+++ b/src/main/java/io/shallotspur/node/cluster/ContractLoop.java
@@ -23,7 +23,7 @@
 import io.shallotspur.distribution.ContractMessage;
 import io.shallotspur.distribution.ContractStore;
 import io.shallotspur.distribution.ContractTable;
-import io.shallotspur.distribution.TableDiff;
+import io.shallotspur.distribution.AntiEntropy;
 import io.shallotspur.exc.ContractInvalidException;
 import io.shallotspur.exc.PeerException;
 import io.shallotspur.exc.StoreUnavailableException;
@@ -94,9 +94,9 @@
 				this::complete);
 		network.onSend(ContractMessage.Push.class, (m) -> post(() -> take(m.contracts(), true)));
 		network.onAsk(ContractMessage.DigestRequest.class,
-				(m) -> run(() -> TableDiff.answer(this.table, this.ready, m)));
-		network.onAsk(ContractMessage.LeavesRequest.class, (m) -> run(() -> TableDiff.answer(this.table, m)));
-		network.onAsk(ContractMessage.ContractsRequest.class, (m) -> run(() -> TableDiff.answer(this.table, m)));
+				(m) -> run(() -> AntiEntropy.reply(this.table, this.ready, m)));
+		network.onAsk(ContractMessage.LeavesRequest.class, (m) -> run(() -> AntiEntropy.reply(this.table, m)));
+		network.onAsk(ContractMessage.ContractsRequest.class, (m) -> run(() -> AntiEntropy.reply(this.table, m)));
 		network.onStream(ContractMessage.SnapshotRequest.class, (m) -> run(this.table::all).flatMapMany(this::batches));
 	}
 
@@ -173,7 +173,7 @@
 	private void take(List<Contract> received, boolean pass) {
 		List<Contract> news = new ArrayList<>();
 		for (Contract c : received) {
-			if (this.table.adopt(c)) {
+			if (this.table.updateIfNewer(c)) {
 				news.add(c);
 			}
 		}
@@ -209,14 +209,14 @@
 				if (!this.ready) {
 					return r.ready() ? snapshot(m) : Mono.just(false);
 				}
-				return (r.groups().length > 0) ? fetch(m, r) : Mono.just(true);
+				return (r.groupDigests().length > 0) ? fetch(m, r) : Mono.just(true);
 			});
 	}
 
 	private Mono<Boolean> fetch(Member m, ContractMessage.DigestReply r) {
-		ContractMessage.LeavesRequest groups = TableDiff.next(this.table, r);
+		ContractMessage.LeavesRequest groups = AntiEntropy.leavesRequest(this.table, r);
 		return ask(m, groups, ContractMessage.LeavesReply.class)
-			.flatMap((l) -> ask(m, TableDiff.next(this.table, groups, l), ContractMessage.ContractsReply.class))
+			.flatMap((l) -> ask(m, AntiEntropy.contractsRequest(this.table, groups, l), ContractMessage.ContractsReply.class))
 			.doOnNext((c) -> take(c.contracts(), false))
 			.thenReturn(true);
 	}
--- a/src/main/java/io/shallotspur/node/cluster/StoreWatcher.java
+++ b/src/main/java/io/shallotspur/node/cluster/StoreWatcher.java
@@ -127,7 +127,7 @@
 			return;
 		}
 		this.reading = true;
-		Mono<List<Contract>> l = this.store.read(digits).publishOn(this.scheduler);
+		Mono<List<Contract>> l = this.store.list(digits).publishOn(this.scheduler);
 		l.subscribe((contracts) -> {
 			this.reading = false;
 			this.backoff = 1;
--- a/src/main/java/io/shallotspur/node/quarantine/SuspectExchange.java
+++ b/src/main/java/io/shallotspur/node/quarantine/SuspectExchange.java
@@ -13,8 +13,8 @@
 import io.shallotspur.port.PeerNetwork;
 import io.shallotspur.quarantine.CrashSuspects;
 import io.shallotspur.quarantine.SuspectEntry;
-import io.shallotspur.quarantine.SuspectsAsk;
-import io.shallotspur.quarantine.SuspectsTold;
+import io.shallotspur.quarantine.SuspectsRequest;
+import io.shallotspur.quarantine.SuspectsUpdate;
 
 /**
  * Keeps the suspects of a node and of its peers alike: changes are told to all peers at
@@ -55,8 +55,8 @@
 		this.peers = peers;
 		this.addresses = addresses;
 		this.scheduler = scheduler;
-		peers.onSend(SuspectsTold.class, this::told);
-		peers.onAsk(SuspectsAsk.class, (a) -> Mono.fromSupplier(this::all));
+		peers.onSend(SuspectsUpdate.class, this::told);
+		peers.onAsk(SuspectsRequest.class, (a) -> Mono.fromSupplier(this::all));
 	}
 
 	/**
@@ -64,10 +64,10 @@
 	 * completion of a suspect, and cheap if nothing has changed.
 	 */
 	public void tellChanges() {
-		List<SuspectEntry> changes = this.suspects.takeChanges(now());
+		List<SuspectEntry> changes = this.suspects.drainChanges(now());
 		for (int from = 0; from < changes.size(); from += MAX_ENTRIES) {
 			int to = Math.min(changes.size(), from + MAX_ENTRIES);
-			SuspectsTold m = new SuspectsTold(List.copyOf(changes.subList(from, to)));
+			SuspectsUpdate m = new SuspectsUpdate(List.copyOf(changes.subList(from, to)));
 			this.addresses.get().forEach((a) -> this.peers.send(a, m));
 		}
 	}
@@ -79,18 +79,18 @@
 	public void repair(RandomGenerator random) {
 		List<String> l = this.addresses.get();
 		if (!l.isEmpty()) {
-			this.peers.ask(l.get(random.nextInt(l.size())), new SuspectsAsk(this.self), ASK_TIMEOUT_MS)
-				.cast(SuspectsTold.class)
+			this.peers.ask(l.get(random.nextInt(l.size())), new SuspectsRequest(this.self), ASK_TIMEOUT_MS)
+				.cast(SuspectsUpdate.class)
 				.subscribe(this::told, (ex) -> Logger.debug("[quarantine] a peer did not answer: {}", ex));
 		}
 	}
 
-	private SuspectsTold all() {
+	private SuspectsUpdate all() {
 		List<SuspectEntry> l = this.suspects.entries(now());
-		return new SuspectsTold(List.copyOf(l.subList(0, Math.min(l.size(), MAX_ENTRIES))));
+		return new SuspectsUpdate(List.copyOf(l.subList(0, Math.min(l.size(), MAX_ENTRIES))));
 	}
 
-	private void told(SuspectsTold m) {
+	private void told(SuspectsUpdate m) {
 		Set<Long> convicted = this.suspects.merge(m.entries(), now());
 		convicted.forEach(
 				(fp) -> Logger.warn("[quarantine] Request {} is quarantined on word of a peer.", Long.toHexString(fp)));
--- a/src/main/java/io/shallotspur/node/quarantine/SuspectMessages.java
+++ b/src/main/java/io/shallotspur/node/quarantine/SuspectMessages.java
@@ -1,8 +1,8 @@
 package io.shallotspur.node.quarantine;
 
 import io.shallotspur.port.MessageRegistry;
-import io.shallotspur.quarantine.SuspectsAsk;
-import io.shallotspur.quarantine.SuspectsTold;
+import io.shallotspur.quarantine.SuspectsRequest;
+import io.shallotspur.quarantine.SuspectsUpdate;
 
 /**
  * The type numbers of the messages of this package. A number is never used again for
@@ -20,7 +20,7 @@
 	 * @return the same registry
 	 */
 	public static <R extends MessageRegistry> R register(R registry) {
-		registry.register(SuspectsTold.TYPE, SuspectsTold.class).register(SuspectsAsk.TYPE, SuspectsAsk.class);
+		registry.register(SuspectsUpdate.TYPE, SuspectsUpdate.class).register(SuspectsRequest.TYPE, SuspectsRequest.class);
 		return registry;
 	}
 
--- a/src/main/java/io/shallotspur/plain/Call.java
+++ b/src/main/java/io/shallotspur/plain/CallState.java
@@ -9,25 +9,25 @@
  * <p>
  * Invariant: a worker is named exactly while an attempt runs.
  */
-final class Call implements FairQueue.Item {
+final class CallState implements FairQueue.Item {
 
 	final PlainRequest request;
 
 	private final long sequence;
 
-	long attempt;
+	long attemptId;
 
-	int tries;
+	int attemptCount;
 
 	long startedAt;
 
-	boolean maybeRun;
+	boolean mayHaveRun;
 
 	boolean ended;
 
 	@Nullable PlainWorker worker;
 
-	Call(PlainRequest request, long sequence) {
+	CallState(PlainRequest request, long sequence) {
 		this.request = request;
 		this.sequence = sequence;
 	}
--- a/src/main/java/io/shallotspur/plain/PlainAction.java
+++ b/src/main/java/io/shallotspur/plain/PlainAction.java
@@ -13,9 +13,9 @@
 	 *
 	 * @param requestId the request
 	 * @param attempt unique among the attempts of the scheduler
-	 * @param worker the worker
+	 * @param workerId the worker
 	 */
-	record StartCall(String requestId, long attempt, String worker) implements PlainAction {
+	record StartCall(String requestId, long attempt, String workerId) implements PlainAction {
 
 	}
 
@@ -24,9 +24,9 @@
 	 *
 	 * @param requestId the request
 	 * @param attempt unique among the attempts of the scheduler
-	 * @param worker the worker
+	 * @param workerId the worker
 	 */
-	record CancelCall(String requestId, long attempt, String worker) implements PlainAction {
+	record CancelCall(String requestId, long attempt, String workerId) implements PlainAction {
 
 	}
 
--- a/src/main/java/io/shallotspur/plain/PlainEvent.java
+++ b/src/main/java/io/shallotspur/plain/PlainEvent.java
@@ -31,7 +31,7 @@
 	 *
 	 * @param attempt the attempt
 	 */
-	record CallDone(long attempt) implements PlainEvent {
+	record CallCompleted(long attempt) implements PlainEvent {
 
 	}
 
@@ -49,7 +49,7 @@
 	 *
 	 * @param attempt the attempt
 	 */
-	record CallLost(long attempt) implements PlainEvent {
+	record CallOutcomeUnknown(long attempt) implements PlainEvent {
 
 	}
 
--- a/src/main/java/io/shallotspur/plain/PlainSettings.java
+++ b/src/main/java/io/shallotspur/plain/PlainSettings.java
@@ -5,18 +5,18 @@
  *
  * @param queueLimit the most calls that wait, default 4096
  * @param lookahead the most waiting calls that one decision looks at, default 16
- * @param initialLimit calls at a time to a worker that declares no limit, until learnt,
+ * @param initialConcurrency calls at a time to a worker that declares no limit, until learnt,
  * default 8
- * @param priorServiceMs the length of a call assumed until learnt, default 20 ms
- * @param tolerance how many times its best latency a worker may take before it gets fewer
+ * @param initialServiceMs the length of a call assumed until learnt, default 20 ms
+ * @param latencyTolerance how many times its best latency a worker may take before it gets fewer
  * calls at a time, default 2
  * @param retryRatio retries earned per first try, default 0.1
- * @param retryReserve retries a customer may have in ten seconds however few first tries
+ * @param minRetries retries a customer may have in ten seconds however few first tries
  * it had, default 24
- * @param maxTries the most tries of one call, default 3
+ * @param maxAttempts the most tries of one call, default 3
  */
-public record PlainSettings(int queueLimit, int lookahead, int initialLimit, double priorServiceMs, double tolerance,
-		double retryRatio, double retryReserve, int maxTries) {
+public record PlainSettings(int queueLimit, int lookahead, int initialConcurrency, double initialServiceMs, double latencyTolerance,
+		double retryRatio, double minRetries, int maxAttempts) {
 
 	/**
 	 * Returns the documented defaults.
--- a/src/main/java/io/shallotspur/plain/PlainWorker.java
+++ b/src/main/java/io/shallotspur/plain/PlainWorker.java
@@ -14,9 +14,9 @@
 
 	private static final double SMOOTHING = 0.1;
 
-	private static final double BEST_DRIFT = 0.002;
+	private static final double BASELINE_DRIFT = 0.002;
 
-	private static final double MOST_SHRINK = 0.9;
+	private static final double MIN_DECREASE_FACTOR = 0.9;
 
 	private final Worker worker;
 
@@ -24,66 +24,66 @@
 
 	private double limit;
 
-	private double bestMs;
+	private double baselineMs;
 
-	private double recentMs;
+	private double averageMs;
 
-	private boolean learnt;
+	private boolean hasSamples;
 
 	private int running;
 
-	private boolean leaving;
+	private boolean draining;
 
 	PlainWorker(Worker worker, PlainSettings settings) {
 		this.worker = worker;
-		this.tolerance = settings.tolerance();
-		this.limit = (worker.slots() > 0) ? worker.slots() : settings.initialLimit();
-		this.bestMs = settings.priorServiceMs();
-		this.recentMs = settings.priorServiceMs();
+		this.tolerance = settings.latencyTolerance();
+		this.limit = (worker.slots() > 0) ? worker.slots() : settings.initialConcurrency();
+		this.baselineMs = settings.initialServiceMs();
+		this.averageMs = settings.initialServiceMs();
 	}
 
 	String id() {
 		return this.worker.id();
 	}
 
-	void leave() {
-		this.leaving = true;
+	void drain() {
+		this.draining = true;
 	}
 
-	boolean leaving() {
-		return this.leaving;
+	boolean draining() {
+		return this.draining;
 	}
 
-	boolean hasRoom() {
-		return !this.leaving && this.running < (int) this.limit;
+	boolean hasCapacity() {
+		return !this.draining && this.running < (int) this.limit;
 	}
 
 	double load() {
 		return this.running / this.limit;
 	}
 
-	double recentMs() {
-		return this.recentMs;
+	double averageMs() {
+		return this.averageMs;
 	}
 
 	double limit() {
 		return this.limit;
 	}
 
-	void start() {
+	void attemptStarted() {
 		this.running++;
 	}
 
-	void abort() {
+	void attemptAborted() {
 		this.running--;
 	}
 
-	void done(double tookMs) {
+	void attemptCompleted(double tookMs) {
 		boolean full = this.running >= (int) this.limit;
 		this.running--;
-		learn(Math.max(0.1, tookMs));
-		if (this.recentMs > this.bestMs * this.tolerance) {
-			this.limit *= Math.max(MOST_SHRINK, 1 - (1 - this.bestMs * this.tolerance / this.recentMs) / this.limit);
+		recordLatency(Math.max(0.1, tookMs));
+		if (this.averageMs > this.baselineMs * this.tolerance) {
+			this.limit *= Math.max(MIN_DECREASE_FACTOR, 1 - (1 - this.baselineMs * this.tolerance / this.averageMs) / this.limit);
 		}
 		else if (full) {
 			this.limit += 1 / this.limit;
@@ -92,17 +92,17 @@
 		this.limit = Math.max(1, Math.min(most, this.limit));
 	}
 
-	private void learn(double tookMs) {
-		if (!this.learnt) {
-			this.learnt = true;
-			this.bestMs = tookMs;
-			this.recentMs = tookMs;
+	private void recordLatency(double tookMs) {
+		if (!this.hasSamples) {
+			this.hasSamples = true;
+			this.baselineMs = tookMs;
+			this.averageMs = tookMs;
 			return;
 		}
-		this.recentMs += SMOOTHING * (tookMs - this.recentMs);
+		this.averageMs += SMOOTHING * (tookMs - this.averageMs);
 		// The best may only creep up: a service that has become slower for good is not
 		// held against its former self for ever.
-		this.bestMs = Math.min(tookMs, this.bestMs + BEST_DRIFT * (this.recentMs - this.bestMs));
+		this.baselineMs = Math.min(tookMs, this.baselineMs + BASELINE_DRIFT * (this.averageMs - this.baselineMs));
 	}
 
 }
--- a/src/main/java/io/shallotspur/plain/StdPlainScheduler.java
+++ b/src/main/java/io/shallotspur/plain/StdPlainScheduler.java
@@ -30,7 +30,7 @@
  */
 public final class StdPlainScheduler implements PlainScheduler {
 
-	private static final double UNKNOWN_SHARE = 0.01;
+	private static final double UNKNOWN_CUSTOMER_SHARE = 0.01;
 
 	private static final long RETRY_AFTER_MS = 500;
 
@@ -42,26 +42,26 @@
 
 	private final Map<String, PlainWorker> workers = new LinkedHashMap<>();
 
-	private final Map<String, Call> byId = new HashMap<>();
+	private final Map<String, CallState> callsById = new HashMap<>();
 
-	private final Map<Long, Call> byAttempt = new LinkedHashMap<>();
+	private final Map<Long, CallState> callsByAttempt = new LinkedHashMap<>();
 
-	private final FairQueue<Call> queue;
+	private final FairQueue<CallState> queue;
 
-	private final TimerQueue<Call> timers = new TimerQueue<>((c) -> c.ended);
+	private final TimerQueue<CallState> timers = new TimerQueue<>((c) -> c.ended);
 
-	private final RetryBudget budget;
+	private final RetryBudget retryBudget;
 
-	private final OutlierDetector outliers = new OutlierDetector();
+	private final OutlierDetector outlierDetector = new OutlierDetector();
 
 	private ContractSet contracts;
 
 	private Consumer<PlainAction> out = (a) -> {
 	};
 
-	private long sequence;
+	private long lastSequence;
 
-	private long attempt;
+	private long lastAttemptId;
 
 	/**
 	 * Creates a scheduler without workers.
@@ -73,15 +73,15 @@
 		this.settings = settings;
 		this.contracts = contracts;
 		this.queue = new FairQueue<>(this::share);
-		this.budget = new RetryBudget(
-				new RetryBudgetSettings(settings.retryRatio(), settings.retryReserve(), RETRY_WINDOW_MS, MAX_CUSTOMERS));
+		this.retryBudget = new RetryBudget(
+				new RetryBudgetSettings(settings.retryRatio(), settings.minRetries(), RETRY_WINDOW_MS, MAX_CUSTOMERS));
 	}
 
 	@Override
 	public void handle(PlainEvent event, long now, Consumer<PlainAction> out) {
 		this.out = out;
-		if (!onCall(event, now)) {
-			onFleet(event, now);
+		if (!handleCallEvent(event, now)) {
+			handleFleetEvent(event, now);
 		}
 		runTimers(now);
 		dispatch(now);
@@ -96,25 +96,25 @@
 	 * Returns how many calls wait or run.
 	 * @return the number of calls
 	 */
-	public int size() {
-		return this.byId.size();
+	public int activeCallCount() {
+		return this.callsById.size();
 	}
 
-	private boolean onCall(PlainEvent event, long now) {
+	private boolean handleCallEvent(PlainEvent event, long now) {
 		if (event instanceof PlainEvent.Submit e) {
 			submit(e.request(), now);
 		}
 		else if (event instanceof PlainEvent.CallerGone e) {
-			callerGone(this.byId.get(e.requestId()));
+			onCallerGone(this.callsById.get(e.requestId()));
 		}
-		else if (event instanceof PlainEvent.CallDone e) {
-			callDone(this.byAttempt.get(e.attempt()), now);
+		else if (event instanceof PlainEvent.CallCompleted e) {
+			onCallCompleted(this.callsByAttempt.get(e.attempt()), now);
 		}
 		else if (event instanceof PlainEvent.CallNotRun e) {
-			failed(this.byAttempt.get(e.attempt()), false, now);
+			onAttemptFailed(this.callsByAttempt.get(e.attempt()), false, now);
 		}
-		else if (event instanceof PlainEvent.CallLost e) {
-			failed(this.byAttempt.get(e.attempt()), true, now);
+		else if (event instanceof PlainEvent.CallOutcomeUnknown e) {
+			onAttemptFailed(this.callsByAttempt.get(e.attempt()), true, now);
 		}
 		else {
 			return false;
@@ -122,19 +122,19 @@
 		return true;
 	}
 
-	private void onFleet(PlainEvent event, long now) {
+	private void handleFleetEvent(PlainEvent event, long now) {
 		if (event instanceof PlainEvent.WorkerUp e) {
-			workerDown(e.worker().id(), now);
+			removeWorker(e.worker().id(), now);
 			this.workers.put(e.worker().id(), new PlainWorker(e.worker(), this.settings));
-			this.outliers.addWorker(e.worker().id());
+			this.outlierDetector.addWorker(e.worker().id());
 		}
 		else if (event instanceof PlainEvent.WorkerDown e) {
-			workerDown(e.workerId(), now);
+			removeWorker(e.workerId(), now);
 		}
 		else if (event instanceof PlainEvent.WorkerLeaving e) {
 			PlainWorker w = this.workers.get(e.workerId());
 			if (w != null) {
-				w.leave();
+				w.drain();
 			}
 		}
 		else if (event instanceof PlainEvent.ContractsChanged e) {
@@ -143,60 +143,60 @@
 	}
 
 	private void submit(PlainRequest r, long now) {
-		Call c = new Call(r, ++this.sequence);
-		if (this.workers.values().stream().allMatch(PlainWorker::leaving)) {
+		CallState c = new CallState(r, ++this.lastSequence);
+		if (this.workers.values().stream().allMatch(PlainWorker::draining)) {
 			refuse(c, RefusalCode.NO_WORKER, "No worker takes new calls.");
 		}
 		else if (this.queue.size() >= this.settings.queueLimit()) {
 			refuse(c, RefusalCode.QUEUE_FULL, "The queue is full.");
 		}
 		else {
-			this.budget.recordFirstAttempt(r.customer(), now);
-			this.byId.put(r.id(), c);
+			this.retryBudget.recordFirstAttempt(r.customer(), now);
+			this.callsById.put(r.id(), c);
 			this.queue.add(c);
 			this.timers.add(c, latestStart(c));
 			this.timers.add(c, r.deadlineAt());
 		}
 	}
 
-	private void callerGone(@Nullable Call c) {
+	private void onCallerGone(@Nullable CallState c) {
 		if (c != null) {
 			cancel(c);
 			end(c);
 		}
 	}
 
-	private void callDone(@Nullable Call c, long now) {
+	private void onCallCompleted(@Nullable CallState c, long now) {
 		if (c == null) {
 			return;
 		}
 		PlainWorker w = c.worker;
 		if (w != null) {
 			double took = now - c.startedAt;
-			this.queue.charge(c.flow(), took - w.recentMs());
-			w.done(took);
-			this.outliers.recordSuccess(w.id(), took, now);
+			this.queue.charge(c.flow(), took - w.averageMs());
+			w.attemptCompleted(took);
+			this.outlierDetector.recordSuccess(w.id(), took, now);
 		}
 		c.worker = null;
 		end(c);
 	}
 
-	private void failed(@Nullable Call c, boolean maybeRun, long now) {
+	private void onAttemptFailed(@Nullable CallState c, boolean maybeRun, long now) {
 		if (c == null) {
 			return;
 		}
-		c.maybeRun |= maybeRun;
+		c.mayHaveRun |= maybeRun;
 		if (c.worker != null) {
-			this.outliers.recordFailure(c.worker.id(), now);
+			this.outlierDetector.recordFailure(c.worker.id(), now);
 		}
-		freeWorker(c);
-		if (c.maybeRun && !c.request.repeatable()) {
+		releaseWorker(c);
+		if (c.mayHaveRun && !c.request.repeatable()) {
 			refuse(c, RefusalCode.OUTCOME_UNKNOWN, "The answer was lost; the call may have been run.");
 		}
-		else if (c.tries >= this.settings.maxTries() || now > latestStart(c)) {
+		else if (c.attemptCount >= this.settings.maxAttempts() || now > latestStart(c)) {
 			refuse(c, RefusalCode.WORKER_LOST, "The call failed and no try is left.");
 		}
-		else if (!this.budget.tryRetry(c.flow(), now)) {
+		else if (!this.retryBudget.tryRetry(c.flow(), now)) {
 			refuse(c, RefusalCode.RETRY_BUDGET, "The customer's retries are used up.");
 		}
 		else {
@@ -205,31 +205,31 @@
 		}
 	}
 
-	private void workerDown(String id, long now) {
+	private void removeWorker(String id, long now) {
 		if (this.workers.remove(id) == null) {
 			return;
 		}
-		this.outliers.removeWorker(id);
-		List<Call> lost = new ArrayList<>();
-		for (Call c : this.byAttempt.values()) {
+		this.outlierDetector.removeWorker(id);
+		List<CallState> lost = new ArrayList<>();
+		for (CallState c : this.callsByAttempt.values()) {
 			if (c.worker != null && c.worker.id().equals(id)) {
 				lost.add(c);
 			}
 		}
-		lost.forEach((c) -> failed(c, true, now));
+		lost.forEach((c) -> onAttemptFailed(c, true, now));
 	}
 
 	private void runTimers(long now) {
-		Call c = this.timers.poll(now);
+		CallState c = this.timers.poll(now);
 		while (c != null) {
 			onTimer(c, now);
 			c = this.timers.poll(now);
 		}
 	}
 
-	private void onTimer(Call c, long now) {
+	private void onTimer(CallState c, long now) {
 		if (now >= c.request.deadlineAt()) {
-			c.maybeRun |= c.worker != null;
+			c.mayHaveRun |= c.worker != null;
 			cancel(c);
 			refuse(c, RefusalCode.DEADLINE_PASSED, "The deadline has passed.");
 		}
@@ -244,7 +244,7 @@
 	private void dispatch(long now) {
 		PlainWorker w = leastLoaded(now);
 		while (w != null && this.queue.size() > 0) {
-			Call c = this.queue.findNext(this.settings.lookahead(), (x) -> true);
+			CallState c = this.queue.findNext(this.settings.lookahead(), (x) -> true);
 			if (c == null) {
 				return;
 			}
@@ -257,51 +257,51 @@
 		}
 	}
 
-	private void start(Call c, PlainWorker w, long now) {
-		this.queue.dispatch(c, w.recentMs());
-		c.attempt = ++this.attempt;
-		c.tries++;
+	private void start(CallState c, PlainWorker w, long now) {
+		this.queue.dispatch(c, w.averageMs());
+		c.attemptId = ++this.lastAttemptId;
+		c.attemptCount++;
 		c.startedAt = now;
 		c.worker = w;
-		w.start();
-		this.outliers.recordStart(w.id(), now);
-		this.byAttempt.put(c.attempt, c);
-		this.out.accept(new PlainAction.StartCall(c.request.id(), c.attempt, w.id()));
+		w.attemptStarted();
+		this.outlierDetector.recordStart(w.id(), now);
+		this.callsByAttempt.put(c.attemptId, c);
+		this.out.accept(new PlainAction.StartCall(c.request.id(), c.attemptId, w.id()));
 	}
 
-	private void cancel(Call c) {
+	private void cancel(CallState c) {
 		PlainWorker w = c.worker;
 		if (w != null) {
-			this.out.accept(new PlainAction.CancelCall(c.request.id(), c.attempt, w.id()));
+			this.out.accept(new PlainAction.CancelCall(c.request.id(), c.attemptId, w.id()));
 		}
-		freeWorker(c);
+		releaseWorker(c);
 	}
 
-	private void refuse(Call c, RefusalCode code, String detail) {
+	private void refuse(CallState c, RefusalCode code, String detail) {
 		end(c);
-		Refusal refusal = c.maybeRun ? Refusal.unknown(code, detail) : Refusal.notRun(code, detail, RETRY_AFTER_MS);
+		Refusal refusal = c.mayHaveRun ? Refusal.unknown(code, detail) : Refusal.notRun(code, detail, RETRY_AFTER_MS);
 		this.out.accept(new PlainAction.Refuse(c.request.id(), refusal));
 	}
 
-	private void end(Call c) {
-		freeWorker(c);
+	private void end(CallState c) {
+		releaseWorker(c);
 		this.queue.remove(c);
 		c.ended = true;
-		this.byId.remove(c.request.id(), c);
+		this.callsById.remove(c.request.id(), c);
 	}
 
-	private void freeWorker(Call c) {
+	private void releaseWorker(CallState c) {
 		if (c.worker != null) {
-			c.worker.abort();
+			c.worker.attemptAborted();
 			c.worker = null;
 		}
-		this.byAttempt.remove(c.attempt);
+		this.callsByAttempt.remove(c.attemptId);
 	}
 
-	private long latestStart(Call c) {
+	private long latestStart(CallState c) {
 		double least = Double.MAX_VALUE;
 		for (PlainWorker w : this.workers.values()) {
-			least = Math.min(least, w.recentMs());
+			least = Math.min(least, w.averageMs());
 		}
 		return c.dueAt() - ((least == Double.MAX_VALUE) ? 0 : (long) least);
 	}
@@ -309,8 +309,8 @@
 	private @Nullable PlainWorker leastLoaded(long now) {
 		PlainWorker best = null;
 		for (PlainWorker w : this.workers.values()) {
-			boolean in = this.outliers.health(w.id(), now) != WorkerHealth.EJECTED;
-			if (in && w.hasRoom() && (best == null || w.load() < best.load())) {
+			boolean in = this.outlierDetector.health(w.id(), now) != WorkerHealth.EJECTED;
+			if (in && w.hasCapacity() && (best == null || w.load() < best.load())) {
 				best = w;
 			}
 		}
@@ -318,7 +318,7 @@
 	}
 
 	private double share(String customer) {
-		return this.contracts.find(customer).map(Contract::share).orElse(UNKNOWN_SHARE);
+		return this.contracts.find(customer).map(Contract::share).orElse(UNKNOWN_CUSTOMER_SHARE);
 	}
 
 }
--- a/src/main/java/io/shallotspur/platform/RequestDecoder.java
+++ b/src/main/java/io/shallotspur/platform/RequestDecoder.java
@@ -43,7 +43,7 @@
 	// that reads it could pick the other key.
 	private static @Nullable String keyHash(HttpHeaders h) {
 		List<String> credentials = h.getAll(PlatformNames.AUTHORIZATION);
-		return (credentials.size() == 1) ? BearerKey.hashOf(credentials.get(0)).orElse(null) : null;
+		return (credentials.size() == 1) ? BearerKey.hashCredentials(credentials.get(0)).orElse(null) : null;
 	}
 
 	private static long remainingMs(HttpHeaders h) throws InputException {
--- a/src/main/java/io/shallotspur/quarantine/Crash.java
+++ b/src/main/java/io/shallotspur/quarantine/Crash.java
@@ -14,7 +14,7 @@
 	 * @param other the other state
 	 * @return this or a new instance
 	 */
-	public Crash withState(CrashState other) {
+	public Crash withMinimumState(CrashState other) {
 		return (other.compareTo(this.state) > 0) ? new Crash(this.worker, this.at, other) : this;
 	}
 
@@ -25,7 +25,7 @@
 	 * @param windowMs how far their times may be apart, in milliseconds
 	 * @return {@code true} if they are of one crash
 	 */
-	public boolean isSame(Crash other, long windowMs) {
+	public boolean matches(Crash other, long windowMs) {
 		return this.worker.equals(other.worker) && Math.abs(this.at - other.at) <= windowMs;
 	}
 
--- a/src/main/java/io/shallotspur/quarantine/CrashSuspects.java
+++ b/src/main/java/io/shallotspur/quarantine/CrashSuspects.java
@@ -33,9 +33,9 @@
 
 	private final Map<Long, SuspectEntry> entries = new LinkedHashMap<>();
 
-	private final Map<String, Long> localCrashes = new HashMap<>();
+	private final Map<String, Long> lastLocalCrashAt = new HashMap<>();
 
-	private final Set<Long> changed = new LinkedHashSet<>();
+	private final Set<Long> changedFingerprints = new LinkedHashSet<>();
 
 	/**
 	 * Creates an empty table with the default limits.
@@ -59,19 +59,19 @@
 	 * @param now the present time in milliseconds
 	 * @return the requests that are quarantined because of it, usually none or one
 	 */
-	public synchronized Set<Long> workerCrashed(String workerId, Collection<Long> runningFingerprints, long now) {
-		expire(now);
+	public synchronized Set<Long> recordCrash(String workerId, Collection<Long> runningFingerprints, long now) {
+		removeExpired(now);
 		Crash c = new Crash(workerId, crashTime(workerId, now), CrashState.OPEN);
-		this.localCrashes.put(workerId, c.at());
+		this.lastLocalCrashAt.put(workerId, c.at());
 		Set<Long> running = new LinkedHashSet<>(runningFingerprints);
 		for (long fp : running) {
 			SuspectEntry e = this.entries.getOrDefault(fp, new SuspectEntry(fp, List.of()));
-			if (e.crashes().stream().noneMatch((o) -> o.isSame(c, 0))) {
-				put(e.withCrash(c));
+			if (e.crashes().stream().noneMatch((o) -> o.matches(c, 0))) {
+				putChanged(e.withCrash(c));
 			}
 		}
-		Set<Long> convicted = convict(running);
-		bound();
+		Set<Long> convicted = quarantineCauses(running);
+		evictExcess();
 		return convicted;
 	}
 
@@ -83,7 +83,7 @@
 	 */
 	public synchronized boolean isQuarantined(long fp, long now) {
 		SuspectEntry e = this.entries.get(fp);
-		return e != null && e.convicted() && !isExpired(e, now);
+		return e != null && e.quarantined() && !isExpired(e, now);
 	}
 
 	/**
@@ -95,7 +95,7 @@
 	 */
 	public synchronized boolean isSuspect(long fp, long now) {
 		SuspectEntry e = this.entries.get(fp);
-		return e != null && e.suspected() && !isExpired(e, now);
+		return e != null && e.suspect() && !isExpired(e, now);
 	}
 
 	/**
@@ -103,10 +103,10 @@
 	 * @param fp the fingerprint
 	 * @param now the present time in milliseconds
 	 */
-	public synchronized void completed(long fp, long now) {
+	public synchronized void recordCompletion(long fp, long now) {
 		SuspectEntry e = this.entries.get(fp);
-		if (e != null && e.suspected() && !isExpired(e, now)) {
-			put(e.withState(CrashState.CLEARED));
+		if (e != null && e.suspect() && !isExpired(e, now)) {
+			putChanged(e.withMinimumState(CrashState.CLEARED));
 		}
 	}
 
@@ -117,12 +117,12 @@
 	 * @param fp the fingerprint
 	 * @param now the present time in milliseconds
 	 */
-	public synchronized void proven(long fp, long now) {
+	public synchronized void recordProgress(long fp, long now) {
 		SuspectEntry e = this.entries.get(fp);
-		if (e != null && e.suspected() && !isExpired(e, now)) {
-			SuspectEntry next = e.withState(CrashState.PROVEN);
+		if (e != null && e.suspect() && !isExpired(e, now)) {
+			SuspectEntry next = e.withMinimumState(CrashState.PROVEN);
 			if (!next.equals(e)) {
-				put(next);
+				putChanged(next);
 			}
 		}
 	}
@@ -134,8 +134,8 @@
 	 * @return the requests that are quarantined here because of it
 	 */
 	public synchronized Set<Long> merge(Collection<SuspectEntry> told, long now) {
-		expire(now);
-		Set<Long> before = quarantined();
+		removeExpired(now);
+		Set<Long> before = quarantinedFingerprints();
 		Set<Long> touched = new LinkedHashSet<>();
 		for (SuspectEntry t : told) {
 			SuspectEntry old = this.entries.get(t.fingerprint());
@@ -145,9 +145,9 @@
 				touched.add(e.fingerprint());
 			}
 		}
-		convict(touched);
-		bound();
-		Set<Long> after = quarantined();
+		quarantineCauses(touched);
+		evictExcess();
+		Set<Long> after = quarantinedFingerprints();
 		after.removeAll(before);
 		return after;
 	}
@@ -158,7 +158,7 @@
 	 * @return the entries, the one with the latest crash first
 	 */
 	public synchronized List<SuspectEntry> entries(long now) {
-		expire(now);
+		removeExpired(now);
 		List<SuspectEntry> l = new ArrayList<>(this.entries.values());
 		l.sort(Comparator.comparingLong(SuspectEntry::lastCrashAt)
 			.reversed()
@@ -172,15 +172,15 @@
 	 * @param now the present time in milliseconds
 	 * @return the entries, at most as many as the table holds
 	 */
-	public synchronized List<SuspectEntry> takeChanges(long now) {
-		expire(now);
-		List<SuspectEntry> l = this.changed.stream().filter(this.entries::containsKey).map(this.entries::get).toList();
-		this.changed.clear();
+	public synchronized List<SuspectEntry> drainChanges(long now) {
+		removeExpired(now);
+		List<SuspectEntry> l = this.changedFingerprints.stream().filter(this.entries::containsKey).map(this.entries::get).toList();
+		this.changedFingerprints.clear();
 		return l;
 	}
 
 	private SuspectEntry join(@Nullable SuspectEntry ours, SuspectEntry theirs) {
-		return (ours != null) ? ours.merge(theirs, this.limits.sameCrashMs()) : theirs;
+		return (ours != null) ? ours.merge(theirs, this.limits.sameCrashWindowMs()) : theirs;
 	}
 
 	private long crashTime(String workerId, long now) {
@@ -188,72 +188,72 @@
 		// noticed it. Counted twice, one crash would convict all that were on the worker;
 		// so the peer's observation is adopted. Two crashes noticed by this node itself
 		// are always two.
-		Long last = this.localCrashes.get(workerId);
+		Long last = this.lastLocalCrashAt.get(workerId);
 		Crash here = new Crash(workerId, now, CrashState.OPEN);
 		long told = this.entries.values()
 			.stream()
 			.flatMap((e) -> e.crashes().stream())
-			.filter((c) -> c.isSame(here, this.limits.sameCrashMs()) && (last == null || c.at() > last))
+			.filter((c) -> c.matches(here, this.limits.sameCrashWindowMs()) && (last == null || c.at() > last))
 			.mapToLong(Crash::at)
 			.max()
 			.orElse(now);
 		return (last != null && told <= last) ? last + 1 : told;
 	}
 
-	private Set<Long> convict(Set<Long> candidates) {
+	private Set<Long> quarantineCauses(Set<Long> candidates) {
 		Set<Long> l = new LinkedHashSet<>();
 		for (long fp : candidates) {
 			SuspectEntry e = this.entries.get(fp);
-			if (e != null && !e.convicted() && e.openCrashes() > 1 && isMostSuspect(e)) {
+			if (e != null && !e.quarantined() && e.unclearedCrashCount() > 1 && isMostLikelyCause(e)) {
 				l.add(fp);
 			}
 		}
-		l.forEach((fp) -> put(this.entries.get(fp).withConviction()));
+		l.forEach((fp) -> putChanged(this.entries.get(fp).withLastCrashAttributed()));
 		return l;
 	}
 
-	private boolean isMostSuspect(SuspectEntry e) {
+	private boolean isMostLikelyCause(SuspectEntry e) {
 		Crash last = e.crashes().get(e.crashes().size() - 1);
-		long open = before(e, last, CrashState.OPEN);
-		long all = before(e, last, CrashState.CONVICTED);
+		long open = countCrashesBefore(e, last, CrashState.OPEN);
+		long all = countCrashesBefore(e, last, CrashState.CONVICTED);
 		// A request that ran on after its first crash is taken for a neighbour. If it
 		// is at a third one all the same, it is one that crashes late.
 		if (last.state() == CrashState.CLEARED || (open == 0 && all < 2)) {
 			return false;
 		}
 		return this.entries.values().stream().filter((o) -> o.fingerprint() != e.fingerprint()).allMatch((o) -> {
-			long rivalOpen = before(o, last, CrashState.OPEN);
-			return rivalOpen < open || (rivalOpen == open && before(o, last, CrashState.CONVICTED) < all);
+			long rivalOpen = countCrashesBefore(o, last, CrashState.OPEN);
+			return rivalOpen < open || (rivalOpen == open && countCrashesBefore(o, last, CrashState.CONVICTED) < all);
 		});
 	}
 
-	private long before(SuspectEntry e, Crash c, CrashState state) {
-		return e.crashesBefore(c, state, this.limits.sameCrashMs());
+	private long countCrashesBefore(SuspectEntry e, Crash c, CrashState state) {
+		return e.countCrashesBefore(c, state, this.limits.sameCrashWindowMs());
 	}
 
-	private Set<Long> quarantined() {
+	private Set<Long> quarantinedFingerprints() {
 		Set<Long> l = new LinkedHashSet<>();
-		this.entries.values().stream().filter(SuspectEntry::convicted).forEach((e) -> l.add(e.fingerprint()));
+		this.entries.values().stream().filter(SuspectEntry::quarantined).forEach((e) -> l.add(e.fingerprint()));
 		return l;
 	}
 
-	private void put(SuspectEntry e) {
+	private void putChanged(SuspectEntry e) {
 		this.entries.put(e.fingerprint(), e);
-		this.changed.add(e.fingerprint());
+		this.changedFingerprints.add(e.fingerprint());
 	}
 
 	private boolean isExpired(SuspectEntry e, long now) {
-		long ttl = e.convicted() ? this.limits.quarantineMs() : this.limits.suspectMs();
+		long ttl = e.quarantined() ? this.limits.quarantineTtlMs() : this.limits.suspectTtlMs();
 		return e.lastCrashAt() + ttl <= now;
 	}
 
-	private void expire(long now) {
+	private void removeExpired(long now) {
 		this.entries.values().removeIf((e) -> isExpired(e, now));
-		this.changed.retainAll(this.entries.keySet());
-		this.localCrashes.values().removeIf((at) -> at + this.limits.suspectMs() <= now);
+		this.changedFingerprints.retainAll(this.entries.keySet());
+		this.lastLocalCrashAt.values().removeIf((at) -> at + this.limits.suspectTtlMs() <= now);
 	}
 
-	private void bound() {
+	private void evictExcess() {
 		// A flood of crashes must not fill the memory of the node: suspects go before
 		// those that are refused, the oldest first.
 		int over = this.entries.size() - this.limits.maxEntries();
@@ -262,12 +262,12 @@
 		}
 		this.entries.values()
 			.stream()
-			.sorted(Comparator.comparing(SuspectEntry::convicted).thenComparingLong(SuspectEntry::lastCrashAt))
+			.sorted(Comparator.comparing(SuspectEntry::quarantined).thenComparingLong(SuspectEntry::lastCrashAt))
 			.limit(over)
 			.map(SuspectEntry::fingerprint)
 			.toList()
 			.forEach(this.entries::remove);
-		this.changed.retainAll(this.entries.keySet());
+		this.changedFingerprints.retainAll(this.entries.keySet());
 	}
 
 }
--- a/src/main/java/io/shallotspur/quarantine/QuarantineLimits.java
+++ b/src/main/java/io/shallotspur/quarantine/QuarantineLimits.java
@@ -5,11 +5,11 @@
  *
  * @param maxEntries the most requests remembered; the oldest that are not refused go
  * first
- * @param suspectMs how long a suspect is remembered after its last crash, in milliseconds
- * @param quarantineMs how long a request is refused after its last crash, in milliseconds
- * @param sameCrashMs how far apart two nodes may notice one crash, in milliseconds
+ * @param suspectTtlMs how long a suspect is remembered after its last crash, in milliseconds
+ * @param quarantineTtlMs how long a request is refused after its last crash, in milliseconds
+ * @param sameCrashWindowMs how far apart two nodes may notice one crash, in milliseconds
  */
-public record QuarantineLimits(int maxEntries, long suspectMs, long quarantineMs, long sameCrashMs) {
+public record QuarantineLimits(int maxEntries, long suspectTtlMs, long quarantineTtlMs, long sameCrashWindowMs) {
 
 	/**
 	 * 4096 entries, suspects for ten minutes, quarantine for an hour.
--- a/src/main/java/io/shallotspur/quarantine/SuspectEntry.java
+++ b/src/main/java/io/shallotspur/quarantine/SuspectEntry.java
@@ -30,7 +30,7 @@
 	 * Tells whether the request may have caused a crash.
 	 * @return {@code true} if a crash of it is not cleared
 	 */
-	public boolean suspected() {
+	public boolean suspect() {
 		return this.crashes.stream().anyMatch((c) -> c.state() != CrashState.CLEARED);
 	}
 
@@ -38,7 +38,7 @@
 	 * Tells whether the request is refused.
 	 * @return {@code true} if it is held to be the cause of a crash
 	 */
-	public boolean convicted() {
+	public boolean quarantined() {
 		return this.crashes.stream().anyMatch((c) -> c.state() == CrashState.CONVICTED);
 	}
 
@@ -46,7 +46,7 @@
 	 * Counts the crashes that are not cleared.
 	 * @return the number of crashes
 	 */
-	public int openCrashes() {
+	public int unclearedCrashCount() {
 		return (int) this.crashes.stream().filter((c) -> c.state() != CrashState.CLEARED).count();
 	}
 
@@ -73,9 +73,9 @@
 	 * Returns the entry with its last crash held against it.
 	 * @return a new entry
 	 */
-	public SuspectEntry withConviction() {
+	public SuspectEntry withLastCrashAttributed() {
 		List<Crash> l = new ArrayList<>(this.crashes);
-		l.set(l.size() - 1, l.get(l.size() - 1).withState(CrashState.CONVICTED));
+		l.set(l.size() - 1, l.get(l.size() - 1).withMinimumState(CrashState.CONVICTED));
 		return new SuspectEntry(this.fingerprint, l);
 	}
 
@@ -84,8 +84,8 @@
 	 * @param state the state
 	 * @return a new entry
 	 */
-	public SuspectEntry withState(CrashState state) {
-		return new SuspectEntry(this.fingerprint, this.crashes.stream().map((c) -> c.withState(state)).toList());
+	public SuspectEntry withMinimumState(CrashState state) {
+		return new SuspectEntry(this.fingerprint, this.crashes.stream().map((c) -> c.withMinimumState(state)).toList());
 	}
 
 	/**
@@ -95,9 +95,9 @@
 	 * @param windowMs how far two observations of one crash may be apart, in milliseconds
 	 * @return the number of crashes; 0 if the request was not at that crash
 	 */
-	public long crashesBefore(Crash c, CrashState state, long windowMs) {
+	public long countCrashesBefore(Crash c, CrashState state, long windowMs) {
 		long at = this.crashes.stream()
-			.filter((o) -> o.isSame(c, windowMs))
+			.filter((o) -> o.matches(c, windowMs))
 			.mapToLong(Crash::at)
 			.max()
 			.orElse(Long.MIN_VALUE);
@@ -114,21 +114,21 @@
 	public SuspectEntry merge(SuspectEntry other, long windowMs) {
 		List<Crash> l = new ArrayList<>(this.crashes);
 		for (Crash c : other.crashes) {
-			int i = find(l, c, other.crashes, windowMs);
+			int i = indexOfMatch(l, c, other.crashes, windowMs);
 			if (i < 0) {
 				l.add(c);
 			}
 			else {
-				l.set(i, l.get(i).withState(c.state()));
+				l.set(i, l.get(i).withMinimumState(c.state()));
 			}
 		}
 		SuspectEntry e = new SuspectEntry(this.fingerprint, l);
 		return e.equals(this) ? this : e;
 	}
 
-	private static int find(List<Crash> ours, Crash c, List<Crash> theirs, long windowMs) {
+	private static int indexOfMatch(List<Crash> ours, Crash c, List<Crash> theirs, long windowMs) {
 		for (int i = 0; i < ours.size(); i++) {
-			if (ours.get(i).isSame(c, 0)) {
+			if (ours.get(i).matches(c, 0)) {
 				return i;
 			}
 		}
@@ -136,7 +136,7 @@
 			Crash o = ours.get(i);
 			// A crash that the other node lists apart is another crash of that worker,
 			// however close in time.
-			if (o.isSame(c, windowMs) && theirs.stream().noneMatch((t) -> t.isSame(o, 0))) {
+			if (o.matches(c, windowMs) && theirs.stream().noneMatch((t) -> t.matches(o, 0))) {
 				return i;
 			}
 		}
--- a/src/main/java/io/shallotspur/quarantine/SuspectsAsk.java
+++ b/src/main/java/io/shallotspur/quarantine/SuspectsRequest.java
@@ -8,7 +8,7 @@
  *
  * @param node the asking node, for logs
  */
-public record SuspectsAsk(String node) implements PeerMessage {
+public record SuspectsRequest(String node) implements PeerMessage {
 
 	/**
 	 * The type number of this message.
--- a/src/main/java/io/shallotspur/quarantine/SuspectsTold.java
+++ b/src/main/java/io/shallotspur/quarantine/SuspectsUpdate.java
@@ -6,11 +6,11 @@
 
 /**
  * Tells peers of suspects and quarantined requests, at once after a crash; also the
- * answer to {@link SuspectsAsk}. Immutable.
+ * answer to {@link SuspectsRequest}. Immutable.
  *
  * @param entries what the sender knows
  */
-public record SuspectsTold(List<SuspectEntry> entries) implements PeerMessage {
+public record SuspectsUpdate(List<SuspectEntry> entries) implements PeerMessage {
 
 	/**
 	 * The type number of this message.
--- a/src/main/java/io/shallotspur/replay/BaselinePlainScheduler.java
+++ b/src/main/java/io/shallotspur/replay/BaselinePlainScheduler.java
@@ -56,13 +56,13 @@
 		else if (event instanceof PlainEvent.CallerGone e) {
 			end(this.jobs.get(e.requestId()), out);
 		}
-		else if (event instanceof PlainEvent.CallDone e) {
+		else if (event instanceof PlainEvent.CallCompleted e) {
 			finish(this.byAttempt.get(e.attempt()));
 		}
 		else if (event instanceof PlainEvent.CallNotRun e) {
 			retry(this.byAttempt.get(e.attempt()), true, out);
 		}
-		else if (event instanceof PlainEvent.CallLost e) {
+		else if (event instanceof PlainEvent.CallOutcomeUnknown e) {
 			retry(this.byAttempt.get(e.attempt()), false, out);
 		}
 		else if (event instanceof PlainEvent.WorkerUp e) {
--- a/src/main/java/io/shallotspur/replay/PlainLane.java
+++ b/src/main/java/io/shallotspur/replay/PlainLane.java
@@ -102,7 +102,7 @@
 		}
 		List<Long> lost = new ArrayList<>(engine.crash());
 		this.queue.after(hop(worker), () -> this.loop.deliver(new PlainEvent.WorkerDown(worker)));
-		lost.forEach((a) -> tell(a, worker, new PlainEvent.CallLost(a)));
+		lost.forEach((a) -> tell(a, worker, new PlainEvent.CallOutcomeUnknown(a)));
 		this.queue.after(Timing.RESTART, () -> restart(worker));
 	}
 
@@ -123,7 +123,7 @@
 		}
 		else if (action instanceof PlainAction.CancelCall a) {
 			this.closed.add(a.attempt());
-			this.queue.after(hop(a.worker()), () -> this.engines.get(a.worker()).cancel(a.attempt()));
+			this.queue.after(hop(a.workerId()), () -> this.engines.get(a.workerId()).cancel(a.attempt()));
 		}
 		else if (action instanceof PlainAction.Refuse a) {
 			this.desk.refused(this.runs.get(a.requestId()), a.refusal());
@@ -132,7 +132,7 @@
 
 	private void start(PlainAction.StartCall action) {
 		long a = action.attempt();
-		String worker = action.worker();
+		String worker = action.workerId();
 		Run run = this.runs.get(action.requestId());
 		this.attempts.put(a, run);
 		run.dispatch();
@@ -158,7 +158,7 @@
 				return;
 			}
 			this.desk.answered(run);
-			this.loop.deliver(new PlainEvent.CallDone(attempt));
+			this.loop.deliver(new PlainEvent.CallCompleted(attempt));
 		});
 	}
 
--- a/src/test/java/io/shallotspur/adapter/admin/AdminServerTests.java
+++ b/src/test/java/io/shallotspur/adapter/admin/AdminServerTests.java
@@ -121,7 +121,7 @@
 	}
 
 	private ContractSet contracts() {
-		return ContractSet.of(this.store.read("").toFuture().getNow(List.of()));
+		return ContractSet.of(this.store.list("").toFuture().getNow(List.of()));
 	}
 
 	private int plain(String path) throws Exception {
--- a/src/test/java/io/shallotspur/contract/BearerKeyTests.java
+++ b/src/test/java/io/shallotspur/contract/BearerKeyTests.java
@@ -15,7 +15,7 @@
 		String hash = BearerKey.hash("banfqasnmgkc.uyj8-pj~bv+/x==");
 		for (String c : List.of("Bearer banfqasnmgkc.uyj8-pj~bv+/x==", "bearer  banfqasnmgkc.uyj8-pj~bv+/x== ",
 				"BEARER banfqasnmgkc.uyj8-pj~bv+/x==")) {
-			Assertions.assertThat(BearerKey.hashOf(c)).as(c).contains(hash);
+			Assertions.assertThat(BearerKey.hashCredentials(c)).as(c).contains(hash);
 		}
 	}
 
@@ -24,7 +24,7 @@
 	void takesNothingElseForAKey() {
 		for (String c : List.of("", "Bearer", "Bearer ", "Basic abc", "Bearer a b", "Bearer a,Bearer b", "Bearer a\tb",
 				"Bearer =a", "Bearer a=b", "abc", "Bearer \u00e4", " Bearer a", "Bearer a;b", "Bearer \"a\"")) {
-			Assertions.assertThat(BearerKey.hashOf(c)).as(c).isEmpty();
+			Assertions.assertThat(BearerKey.hashCredentials(c)).as(c).isEmpty();
 		}
 	}
 
--- a/src/test/java/io/shallotspur/demo/LoopbackVmTests.java
+++ b/src/test/java/io/shallotspur/demo/LoopbackVmTests.java
@@ -50,7 +50,7 @@
 		this.vms.forEach(LoopbackVm::start);
 		await(() -> this.vms.stream().allMatch((v) -> v.service().isReady() && v.service().view().live().size() == 3));
 		this.store.setFaults(new StoreFaults(false, 0, 0, 1, false));
-		ContractChange change = Contracts.change("c1", "lonestar", 0.5, ContractChange.NEW);
+		ContractChange change = Contracts.change("c1", "lonestar", 0.5, ContractChange.ABSENT);
 		Contract accepted = Objects.requireNonNull(this.vms.get(0).service().contracts().change(change).block());
 		assertThat(accepted.revision()).isEqualTo(1);
 		this.store.setFaults(new StoreFaults(true, 0, 0, 0, false));
--- a/src/test/java/io/shallotspur/distribution/ContractStoreTests.java
+++ b/src/test/java/io/shallotspur/distribution/ContractStoreTests.java
@@ -25,12 +25,12 @@
 
 	@Test
 	void createsChangesAndRetires() {
-		assertThat(apply("c1", 0.5, ContractChange.NEW)).isEqualTo(1);
+		assertThat(apply("c1", 0.5, ContractChange.ABSENT)).isEqualTo(1);
 		assertThat(apply("c2", 0.6, 1)).isEqualTo(2);
-		ContractChange retire = new ContractChange("c3", Contracts.contract("lonestar", 0.6).withRetired(), 2);
+		ContractChange retire = new ContractChange("c3", Contracts.contract("lonestar", 0.6).toTombstone(), 2);
 		assertThat(this.store.apply(retire).block().retired()).isTrue();
-		assertThat(apply("c4", 0.4, ContractChange.NEW)).isEqualTo(4);
-		StepVerifier.create(this.store.read("").map((l) -> l.stream().map(Contract::revision).toList()))
+		assertThat(apply("c4", 0.4, ContractChange.ABSENT)).isEqualTo(4);
+		StepVerifier.create(this.store.list("").map((l) -> l.stream().map(Contract::revision).toList()))
 			.expectNext(List.of(4L))
 			.verifyComplete();
 	}
@@ -41,14 +41,14 @@
 	 */
 	@Test
 	void theSecondOfTwoOperatorsIsTold() {
-		apply("c1", 0.5, ContractChange.NEW);
+		apply("c1", 0.5, ContractChange.ABSENT);
 		apply("c2", 0.6, 1);
 		StepVerifier.create(this.store.apply(Contracts.change("c3", "lonestar", 0.7, 1)))
 			.verifyErrorSatisfies((ex) -> assertThat(ex).isInstanceOfSatisfying(ContractConflictException.class,
 					(c) -> assertThat(c.getCurrentRevision()).isEqualTo(2)));
-		StepVerifier.create(this.store.apply(Contracts.change("c4", "lonestar", 0.7, ContractChange.NEW)))
+		StepVerifier.create(this.store.apply(Contracts.change("c4", "lonestar", 0.7, ContractChange.ABSENT)))
 			.verifyError(ContractConflictException.class);
-		assertThat(this.store.read("").block().get(0).share()).isEqualTo(0.6);
+		assertThat(this.store.list("").block().get(0).share()).isEqualTo(0.6);
 	}
 
 	/**
@@ -59,7 +59,7 @@
 	@Test
 	void aLostAnswerIsSettled() {
 		this.kv.failNextWrites(Fault.LOST_AFTER_EFFECT);
-		assertThat(apply("c1", 0.5, ContractChange.NEW)).isEqualTo(1);
+		assertThat(apply("c1", 0.5, ContractChange.ABSENT)).isEqualTo(1);
 		this.kv.failNextWrites(Fault.LOST_BEFORE_EFFECT, Fault.LOST_AFTER_EFFECT);
 		assertThat(apply("c2", 0.6, 1)).isEqualTo(2);
 		assertThat(this.store.apply(Contracts.change("c2", "lonestar", 0.6, 1)).block().revision()).isEqualTo(2);
@@ -74,16 +74,16 @@
 	@Test
 	void whatCannotBeSettledIsUnknown() {
 		this.kv.failNextWrites(Fault.LOST_AFTER_EFFECT);
-		Mono<Contract> c = this.store.apply(Contracts.change("c1", "lonestar", 0.5, ContractChange.NEW))
+		Mono<Contract> c = this.store.apply(Contracts.change("c1", "lonestar", 0.5, ContractChange.ABSENT))
 			.doOnSubscribe((s) -> this.kv.holdAnswers());
 		StepVerifier.create(c).then(() -> {
 			this.kv.releaseAnswers();
 			this.kv.setDown(true);
 		}).verifyError(StoreUnknownException.class);
-		StepVerifier.create(this.store.apply(Contracts.change("c2", "lonestar", 0.5, ContractChange.NEW)))
+		StepVerifier.create(this.store.apply(Contracts.change("c2", "lonestar", 0.5, ContractChange.ABSENT)))
 			.verifyError(StoreUnavailableException.class);
 		this.kv.setDown(false);
-		assertThat(apply("c1", 0.5, ContractChange.NEW)).isEqualTo(1);
+		assertThat(apply("c1", 0.5, ContractChange.ABSENT)).isEqualTo(1);
 	}
 
 	private long apply(String id, double share, long expected) {
--- a/src/test/java/io/shallotspur/distribution/ContractTableTests.java
+++ b/src/test/java/io/shallotspur/distribution/ContractTableTests.java
@@ -23,12 +23,12 @@
 			sent.add(Contracts.contract("customer-" + random.nextInt(40), 0.1).withRevision(1 + random.nextInt(20)));
 		}
 		ContractTable a = new ContractTable();
-		sent.forEach(a::adopt);
+		sent.forEach(a::updateIfNewer);
 		Collections.shuffle(sent, random);
 		ContractTable b = new ContractTable();
 		for (Contract c : sent) {
 			long before = b.snapshot().find(c.customer()).map(Contract::revision).orElse(0L);
-			assertThat(b.adopt(c)).isEqualTo(c.revision() > before);
+			assertThat(b.updateIfNewer(c)).isEqualTo(c.revision() > before);
 			assertThat(b.snapshot().find(c.customer()).orElseThrow().revision()).isGreaterThanOrEqualTo(before);
 		}
 		assertThat(b.digest()).isEqualTo(a.digest());
@@ -42,9 +42,9 @@
 		ContractTable behind = new ContractTable();
 		for (int i = 0; i < 2000; i++) {
 			Contract c = Contracts.contract("customer-" + i, 0.1).withRevision(2);
-			full.adopt(c);
+			full.updateIfNewer(c);
 			boolean missed = random.nextInt(100) == 0;
-			behind.adopt(missed ? c.withRevision(1) : c);
+			behind.updateIfNewer(missed ? c.withRevision(1) : c);
 		}
 		int rounds = 0;
 		while (full.digest() != behind.digest()) {
@@ -54,11 +54,11 @@
 	}
 
 	private static void exchange(ContractTable asker, ContractTable asked) {
-		ContractMessage.DigestReply d = TableDiff.answer(asked, true,
+		ContractMessage.DigestReply d = AntiEntropy.reply(asked, true,
 				new ContractMessage.DigestRequest(asker.digest()));
-		ContractMessage.LeavesRequest l = TableDiff.next(asker, d);
-		ContractMessage.ContractsRequest c = TableDiff.next(asker, l, TableDiff.answer(asked, l));
-		TableDiff.answer(asked, c).contracts().forEach(asker::adopt);
+		ContractMessage.LeavesRequest l = AntiEntropy.leavesRequest(asker, d);
+		ContractMessage.ContractsRequest c = AntiEntropy.contractsRequest(asker, l, AntiEntropy.reply(asked, l));
+		AntiEntropy.reply(asked, c).contracts().forEach(asker::updateIfNewer);
 	}
 
 }
--- a/src/test/java/io/shallotspur/node/cluster/ClusterServiceTests.java
+++ b/src/test/java/io/shallotspur/node/cluster/ClusterServiceTests.java
@@ -56,7 +56,7 @@
 			.isTrue();
 		this.time.advance(2000);
 		this.vms.get(0).service.contracts()
-			.change(Contracts.change("c", "lonestar", 0.5, ContractChange.NEW))
+			.change(Contracts.change("c", "lonestar", 0.5, ContractChange.ABSENT))
 			.subscribe();
 		this.time.advance(4000);
 	}
--- a/src/test/java/io/shallotspur/node/cluster/ContractLoopTests.java
+++ b/src/test/java/io/shallotspur/node/cluster/ContractLoopTests.java
@@ -56,7 +56,7 @@
 	 */
 	@Test
 	void aLongOutageOfTheStoreChangesNothing() {
-		change("vm-1", 0.5, ContractChange.NEW);
+		change("vm-1", 0.5, ContractChange.ABSENT);
 		untilEverywhere(1);
 		this.kv.setDown(true);
 		assertThat(failure("vm-2", 0.6, 1)).isInstanceOf(StoreUnavailableException.class);
@@ -84,7 +84,7 @@
 	void anAcceptedChangeSurvivesItsVmAndStaleWatches() {
 		this.kv.setStaleWatches(true);
 		this.fleet.peers().setLost((from, to) -> from.equals("vm-4"));
-		change("vm-4", 0.5, ContractChange.NEW);
+		change("vm-4", 0.5, ContractChange.ABSENT);
 		this.fleet.kill("vm-4");
 		assertThat(untilEverywhere(1)).isBetween(0L, IN_FORCE_MS);
 	}
@@ -96,7 +96,7 @@
 	 */
 	@Test
 	void nothingReverts() {
-		change("vm-1", 0.5, ContractChange.NEW);
+		change("vm-1", 0.5, ContractChange.ABSENT);
 		untilEverywhere(1);
 		StoreRecord old = this.kv.list("contracts/").block().get(0);
 		Set<String> cut = Set.of("vm-7", "vm-8");
@@ -107,7 +107,7 @@
 		this.kv.deliver(old);
 		assertThat(untilEverywhere(2)).isBetween(0L, 60_000L);
 		VirtualVm vm = this.fleet.vm("vm-2");
-		ContractChange retire = new ContractChange("r", Contracts.contract(CUSTOMER, 0.6).withRetired(), 2);
+		ContractChange retire = new ContractChange("r", Contracts.contract(CUSTOMER, 0.6).toTombstone(), 2);
 		assertThat(answer(vm, retire)).isInstanceOf(Contract.class);
 		this.fleet.time().advance(IN_FORCE_MS);
 		this.kv.deliver(old);
@@ -115,12 +115,12 @@
 		for (VirtualVm v : this.fleet.all()) {
 			assertThat(v.contracts().contracts().find(CUSTOMER)).isEmpty();
 		}
-		assertThat(change("vm-5", 0.2, ContractChange.NEW)).isEqualTo(4);
+		assertThat(change("vm-5", 0.2, ContractChange.ABSENT)).isEqualTo(4);
 	}
 
 	@Test
 	void aPausedVmHasTheNewContractAtOnceWhenItGoesOn() {
-		change("vm-1", 0.5, ContractChange.NEW);
+		change("vm-1", 0.5, ContractChange.ABSENT);
 		untilEverywhere(1);
 		this.fleet.vm("vm-6").node().pause();
 		change("vm-1", 0.6, 1);
@@ -131,9 +131,9 @@
 
 	@Test
 	void contractsThatCannotBeKeptAreRefused() {
-		change("vm-1", 0.7, ContractChange.NEW);
+		change("vm-1", 0.7, ContractChange.ABSENT);
 		untilEverywhere(1);
-		ContractChange other = Contracts.change("x", "bilhete", 0.4, ContractChange.NEW);
+		ContractChange other = Contracts.change("x", "bilhete", 0.4, ContractChange.ABSENT);
 		assertThat(answer(this.fleet.vm("vm-2"), other)).isInstanceOf(ContractInvalidException.class);
 		assertThat(this.kv.list("contracts/").block()).hasSize(1);
 	}
--- a/src/test/java/io/shallotspur/node/quarantine/SuspectExchangeTests.java
+++ b/src/test/java/io/shallotspur/node/quarantine/SuspectExchangeTests.java
@@ -34,11 +34,11 @@
 	void requestThatCrashedAWorkerOfEachNodeIsRefusedByBoth() {
 		// Its caller sends it to another entry VM after the first crash. If that one knew
 		// nothing, each entry VM would lose two workers to it.
-		this.a.workerCrashed("w1", List.of(1L, POISON), this.time.now());
+		this.a.recordCrash("w1", List.of(1L, POISON), this.time.now());
 		this.fromA.tellChanges();
 		this.time.advance(10);
 		assertThat(this.b.isSuspect(POISON, this.time.now())).isTrue();
-		assertThat(this.b.workerCrashed("w2", List.of(2L, POISON), this.time.now())).containsExactly(POISON);
+		assertThat(this.b.recordCrash("w2", List.of(2L, POISON), this.time.now())).containsExactly(POISON);
 		this.fromB.tellChanges();
 		this.time.advance(10);
 		assertThat(this.a.isQuarantined(POISON, this.time.now())).isTrue();
@@ -47,7 +47,7 @@
 	@Test
 	void lostMessageIsMendedByAsking() {
 		this.peers.setLost((from, to) -> true);
-		this.a.workerCrashed("w1", List.of(POISON), this.time.now());
+		this.a.recordCrash("w1", List.of(POISON), this.time.now());
 		this.fromA.tellChanges();
 		this.time.advance(10);
 		assertThat(this.b.isSuspect(POISON, this.time.now())).isFalse();
--- a/src/test/java/io/shallotspur/plain/StdPlainSchedulerTests.java
+++ b/src/test/java/io/shallotspur/plain/StdPlainSchedulerTests.java
@@ -51,7 +51,7 @@
 		submit("s1", 3, true, 0);
 		submit("s2", 3, true, 0);
 		submit("k1", 1, false, 0);
-		event(new PlainEvent.CallDone(1), 20);
+		event(new PlainEvent.CallCompleted(1), 20);
 		assertThat(starts()).extracting(PlainAction.StartCall::requestId).containsExactly("s1", "k1");
 	}
 
@@ -62,7 +62,7 @@
 		event(new PlainEvent.WorkerUp(worker("w1", 4)), 0);
 		event(new PlainEvent.WorkerUp(worker("w2", 4)), 0);
 		submit("k1", 1, false, 0);
-		event(new PlainEvent.WorkerDown(starts().get(0).worker()), 10);
+		event(new PlainEvent.WorkerDown(starts().get(0).workerId()), 10);
 		assertThat(starts()).hasSize(1);
 		assertThat(refusals()).singleElement()
 			.satisfies((r) -> assertThat(r.refusal().outcome()).isEqualTo(Outcome.OUTCOME_UNKNOWN));
@@ -75,10 +75,10 @@
 		event(new PlainEvent.WorkerUp(worker("w1", 4)), 0);
 		event(new PlainEvent.WorkerUp(worker("w2", 4)), 0);
 		submit("s1", 1, true, 0);
-		String first = starts().get(0).worker();
+		String first = starts().get(0).workerId();
 		event(new PlainEvent.WorkerDown(first), 10);
 		assertThat(starts()).hasSize(2);
-		assertThat(starts().get(1).worker()).isNotEqualTo(first);
+		assertThat(starts().get(1).workerId()).isNotEqualTo(first);
 	}
 
 	@Test
@@ -96,9 +96,9 @@
 		event(new PlainEvent.WorkerUp(worker("w1", 1)), 0);
 		submit("s1", 1, true, 0);
 		event(new PlainEvent.CallerGone("s1"), 5);
-		event(new PlainEvent.CallDone(1), 8);
+		event(new PlainEvent.CallCompleted(1), 8);
 		assertThat(this.actions).contains(new PlainAction.CancelCall("s1", 1, "w1"));
-		assertThat(this.scheduler.size()).isZero();
+		assertThat(this.scheduler.activeCallCount()).isZero();
 		submit("s2", 1, true, 9);
 		assertThat(starts()).hasSize(2);
 	}
