--- a/src/main/java/io/shallotspur/gateway/Gateway.java
+++ b/src/main/java/io/shallotspur/gateway/Gateway.java
@@ -161,7 +161,7 @@
 		PromptInfo p = r.prompt();
 		if (p != null) {
 			long answer = engineTimes(route.chooseUpstream(0)).generationMs(p.expectedOutputTokens());
-			most = Math.min(most, route.targetMs() + (long) (RetryAfter.ANSWER_MARGIN * answer));
+			most = Math.min(most, route.latencyTargetMs() + (long) (RetryAfter.ANSWER_MARGIN * answer));
 		}
 		return now + most > this.shutdownAt;
 	}
--- a/src/main/java/io/shallotspur/stage/ThroughputModel.java
+++ b/src/main/java/io/shallotspur/stage/ThroughputModel.java
@@ -35,7 +35,7 @@
 	}
 
 	private static double decodeSlots(EngineSpec engine, double tokens) {
-		return Math.min(engine.slots(), engine.cacheTokens() / Math.max(1, tokens));
+		return Math.min(engine.slots(), engine.kvCacheTokens() / Math.max(1, tokens));
 	}
 
 	/**
