--- a/src/main/java/io/shallotspur/cell/JobFlow.java
+++ b/src/main/java/io/shallotspur/cell/JobFlow.java
@@ -170,7 +170,7 @@
 	// Ends a request with the outcome that is true of it.
 	void refuse(Job job, RefusalCode code, String detail, long retryAfterMs, long now) {
 		boolean run = job.everDecoded;
-		refuse(job, run ? Refusal.unknown(code, detail) : Refusal.notRun(code, detail, retryAfterMs), now);
+		refuse(job, run ? Refusal.outcomeUnknown(code, detail) : Refusal.notRun(code, detail, retryAfterMs), now);
 	}
 
 	// Queues a request again after its attempt failed, or ends it if no try is left.
