--- a/src/main/java/io/shallotspur/order/OrderException.java
+++ b/src/main/java/io/shallotspur/order/OrderException.java
@@ -7,7 +7,7 @@
 import io.shallotspur.exc.ShallotspurException;
 
 /**
- * An order to an engine was not carried out.
+ * Thrown when an order to an engine fails.
  */
 public final class OrderException extends ShallotspurException {
 
@@ -15,18 +15,18 @@
 
 	/**
 	 * Creates an exception.
-	 * @param fault why
-	 * @param worker the worker
-	 * @param cause the failure below this one, or {@code null}
+	 * @param fault the reason for the failure
+	 * @param workerId the id of the worker that the order was for
+	 * @param cause the underlying failure, or {@code null}
 	 */
-	public OrderException(OrderFault fault, String worker, @Nullable Throwable cause) {
-		super("the order was not carried out: " + fault.name().toLowerCase(Locale.ROOT).replace('_', ' '), worker,
+	public OrderException(OrderFault fault, String workerId, @Nullable Throwable cause) {
+		super("the order to the engine failed: " + fault.name().toLowerCase(Locale.ROOT).replace('_', ' '), workerId,
 				cause);
 		this.fault = fault;
 	}
 
 	/**
-	 * Returns why the order was not carried out.
+	 * Returns the reason for the failure.
 	 * @return the fault
 	 */
 	public OrderFault getFault() {
--- a/src/main/java/io/shallotspur/order/OrderFault.java
+++ b/src/main/java/io/shallotspur/order/OrderFault.java
@@ -1,22 +1,23 @@
 package io.shallotspur.order;
 
 /**
- * Why an order was not carried out.
+ * Reasons why an order to an engine fails.
  */
 public enum OrderFault {
 
 	/**
-	 * Another node gives the orders of the cell. The order was not given.
+	 * This node does not hold the lease for the orders of the cell, or too little of the
+	 * lease remains. The order was not sent.
 	 */
 	NOT_HOLDER,
 
 	/**
-	 * The lease could not be had from the store in time. The order was not given.
+	 * The store did not grant or renew the lease in time. The order was not sent.
 	 */
 	NO_LEASE,
 
 	/**
-	 * The order was given, and what the engine reports is something else.
+	 * The order was sent, but the state reported by the engine does not match it.
 	 */
 	NOT_IN_FORCE
 
--- a/src/main/java/io/shallotspur/order/OrderGate.java
+++ b/src/main/java/io/shallotspur/order/OrderGate.java
@@ -3,88 +3,90 @@
 import io.shallotspur.port.StoreLease;
 
 /**
- * Decides whether this node may give orders to the engines of a cell. Immutable and
- * thread-safe; a change makes a new instance.
+ * Decides whether this node may send orders to the engines of a cell. Immutable and
+ * thread-safe; a change creates a new instance.
  * <p>
- * Invariants: an order begins only if it will have ended before the lease can end, as
- * this node counts it from the moment it asked; to engines that do not check fencing
- * numbers, none is given until the margin after this node's first sight of its lease, by
- * when the orders of a former holder have arrived. Engines that check numbers refuse what
- * comes later still.
+ * Invariants: an order starts only if its timeout elapses before the lease can expire,
+ * where this node counts the lease from the moment it sent the lease request. To engines
+ * that do not check fencing tokens, no order is sent until
+ * {@link OrderLeaseSettings#lateOrderMarginMs()} after this node first saw its lease; by
+ * then the orders of a former holder have arrived. Engines that check fencing tokens
+ * reject orders of a former holder whenever they arrive.
  */
 public final class OrderGate {
 
-	private final OrderLeaseSettings limits;
+	private final OrderLeaseSettings settings;
 
 	private final boolean held;
 
-	private final long token;
+	private final long fencingToken;
 
-	private final long heldSince;
+	private final long acquiredAt;
 
-	private final long endsAt;
+	private final long expiresAt;
 
-	private OrderGate(OrderLeaseSettings limits, boolean held, long token, long heldSince, long endsAt) {
-		this.limits = limits;
+	private OrderGate(OrderLeaseSettings settings, boolean held, long fencingToken, long acquiredAt, long expiresAt) {
+		this.settings = settings;
 		this.held = held;
-		this.token = token;
-		this.heldSince = heldSince;
-		this.endsAt = endsAt;
+		this.fencingToken = fencingToken;
+		this.acquiredAt = acquiredAt;
+		this.expiresAt = expiresAt;
 	}
 
 	/**
 	 * Creates a gate without a lease.
-	 * @param limits the times
+	 * @param settings the lease settings
 	 * @return the gate
 	 */
-	public static OrderGate withoutLease(OrderLeaseSettings limits) {
-		return new OrderGate(limits, false, 0, 0, Long.MIN_VALUE);
+	public static OrderGate withoutLease(OrderLeaseSettings settings) {
+		return new OrderGate(settings, false, 0, 0, Long.MIN_VALUE);
 	}
 
 	/**
-	 * Takes an answer of the store. An answer that was lost is not told: the lease then
-	 * counts as it did before.
-	 * @param lease the lease as it stands
-	 * @param self the name of this node as a holder
-	 * @param askedAt when the store was asked, in milliseconds
-	 * @param now the present time in milliseconds
+	 * Applies a lease response of the store. If a response is lost, this method is not
+	 * called and the previous state of the lease stays valid.
+	 * @param lease the current lease in the store
+	 * @param self the name of this node as a lease holder
+	 * @param requestedAt when the lease request was sent, in milliseconds
+	 * @param now the current time in milliseconds
 	 * @return a new gate
 	 */
-	public OrderGate withLease(StoreLease lease, String self, long askedAt, long now) {
+	public OrderGate withLease(StoreLease lease, String self, long requestedAt, long now) {
 		if (!lease.holder().equals(self)) {
-			return withoutLease(this.limits);
+			return withoutLease(this.settings);
 		}
-		boolean same = this.held && this.token == lease.fencingToken();
-		// The store counts from some moment after the question was sent; counting from
-		// before it, this node never believes in a lease that has ended.
-		long ends = askedAt + lease.remainingMs() - this.limits.maxClockDriftMs();
-		return new OrderGate(this.limits, true, lease.fencingToken(), same ? this.heldSince : now, ends);
+		boolean renewed = this.held && this.fencingToken == lease.fencingToken();
+		// The store starts counting after the request was sent. Counting from the time of
+		// the request, this node never treats an expired lease as valid.
+		long expires = requestedAt + lease.remainingMs() - this.settings.maxClockDriftMs();
+		return new OrderGate(this.settings, true, lease.fencingToken(), renewed ? this.acquiredAt : now, expires);
 	}
 
 	/**
-	 * Decides about an order.
-	 * @param checksFencing whether the engine refuses an order with an old number
-	 * @param now the present time in milliseconds
+	 * Decides whether an order may be sent.
+	 * @param checksFencing whether the engine rejects orders with an outdated fencing
+	 * token
+	 * @param now the current time in milliseconds
 	 * @return the permit
 	 */
 	public OrderPermit permit(boolean checksFencing, long now) {
-		if (!this.held || now + this.limits.orderTimeoutMs() > this.endsAt) {
+		if (!this.held || now + this.settings.orderTimeoutMs() > this.expiresAt) {
 			return new OrderPermit.LeaseNotHeld();
 		}
-		long open = this.heldSince + this.limits.lateOrderMarginMs();
-		if (!checksFencing && now < open) {
-			return new OrderPermit.Deferred(open);
+		long marginEnd = this.acquiredAt + this.settings.lateOrderMarginMs();
+		if (!checksFencing && now < marginEnd) {
+			return new OrderPermit.Deferred(marginEnd);
 		}
-		return new OrderPermit.Granted(this.token, now + this.limits.orderTimeoutMs());
+		return new OrderPermit.Granted(this.fencingToken, now + this.settings.orderTimeoutMs());
 	}
 
 	/**
-	 * Tells whether the lease should be renewed.
-	 * @param now the present time in milliseconds
-	 * @return {@code true} if less than half of it is left
+	 * Returns whether the lease should be requested or renewed.
+	 * @param now the current time in milliseconds
+	 * @return {@code true} if the lease is not held or at most half of it remains
 	 */
 	public boolean needsRenewal(long now) {
-		return !this.held || now + this.limits.leaseTtlMs() / 2 >= this.endsAt;
+		return !this.held || now + this.settings.leaseTtlMs() / 2 >= this.expiresAt;
 	}
 
 }
--- a/src/main/java/io/shallotspur/order/OrderLeaseSettings.java
+++ b/src/main/java/io/shallotspur/order/OrderLeaseSettings.java
@@ -1,19 +1,20 @@
 package io.shallotspur.order;
 
 /**
- * Times of the lease for orders. Immutable.
+ * Times that apply to orders and to the lease under which they are sent. Immutable.
  *
  * @param leaseTtlMs how long the lease lasts without renewal, in milliseconds
- * @param orderTimeoutMs the longest an order may take, in milliseconds
- * @param maxClockDriftMs how much faster or slower than the store's clock this node's may run
- * during a lease, in milliseconds
- * @param lateOrderMarginMs how long after a former holder's lease its orders may still arrive at
- * an engine, in milliseconds; longer than the pauses and delays that are expected
+ * @param orderTimeoutMs the maximum duration of an order, in milliseconds
+ * @param maxClockDriftMs the maximum drift between the clocks of this node and of the
+ * store over the time of a lease, in milliseconds
+ * @param lateOrderMarginMs how long after the lease of a former holder its orders may
+ * still arrive at an engine, in milliseconds; longer than the expected pauses and delays
  */
 public record OrderLeaseSettings(long leaseTtlMs, long orderTimeoutMs, long maxClockDriftMs, long lateOrderMarginMs) {
 
 	/**
-	 * A lease of 15 s, orders of at most 5 s, 500 ms of drift and a margin of 10 s.
+	 * A lease of 15 s, an order timeout of 5 s, a clock drift of 500 ms and a margin of
+	 * 10 s for late orders.
 	 */
 	public static final OrderLeaseSettings DEFAULT = new OrderLeaseSettings(15_000, 5_000, 500, 10_000);
 
--- a/src/main/java/io/shallotspur/order/OrderPermit.java
+++ b/src/main/java/io/shallotspur/order/OrderPermit.java
@@ -1,31 +1,32 @@
 package io.shallotspur.order;
 
 /**
- * Whether an order may be given now. Immutable.
+ * Result of the check whether an order may be sent now. Immutable.
  */
 public sealed interface OrderPermit {
 
 	/**
-	 * It may be given, and has to be carried out or given up in time.
+	 * The order may be sent, and must complete or be abandoned by the deadline.
 	 *
-	 * @param fencingToken the number to give it under
-	 * @param deadline when the order must have ended, in milliseconds
+	 * @param fencingToken the fencing token to send with the order
+	 * @param deadline when the order must have completed, as a time in milliseconds
 	 */
 	record Granted(long fencingToken, long deadline) implements OrderPermit {
 
 	}
 
 	/**
-	 * It may be given later.
+	 * The order must not be sent yet.
 	 *
-	 * @param retryAt when to ask again, in milliseconds
+	 * @param retryAt when to check again, as a time in milliseconds
 	 */
 	record Deferred(long retryAt) implements OrderPermit {
 
 	}
 
 	/**
-	 * Another node gives the orders, or the lease has lapsed.
+	 * The order must not be sent: this node does not hold the lease, or the lease has
+	 * expired or would expire before the order times out.
 	 */
 	record LeaseNotHeld() implements OrderPermit {
 
--- a/src/main/java/io/shallotspur/order/package-info.java
+++ b/src/main/java/io/shallotspur/order/package-info.java
@@ -1,6 +1,7 @@
 /**
- * When an order to an engine may be given: under a lease of the key-value service, and
- * with care for engines that do not check who orders.
+ * Decides when this node may send an order (load, unload or change of role) to an engine.
+ * Orders are sent under a lease in the key-value store; engines that do not check fencing
+ * tokens need an additional delay after a change of lease holder.
  */
 @NullMarked
 package io.shallotspur.order;
