--- a/src/main/java/io/shallotspur/outcome/Outcome.java
+++ b/src/main/java/io/shallotspur/outcome/Outcome.java
@@ -1,24 +1,23 @@
 package io.shallotspur.outcome;
 
 /**
- * Whether a request was run, as its caller is told.
+ * Tells the caller whether a request was run.
  */
 public enum Outcome {
 
 	/**
-	 * The whole answer was given.
+	 * The complete answer was sent.
 	 */
 	ANSWERED("answered"),
 
 	/**
-	 * The request was not run, and never will be because of this call. It is safe to send
-	 * it again.
+	 * The request was not run, and this call will not run it later. It is safe to retry.
 	 */
 	NOT_RUN("not_run"),
 
 	/**
-	 * The request may have been run. A request that may not be repeated must not be sent
-	 * again under another key.
+	 * The request may have been run. A request that is not repeatable must not be retried
+	 * with a different Idempotency-Key.
 	 */
 	OUTCOME_UNKNOWN("outcome_unknown");
 
@@ -29,7 +28,7 @@
 	}
 
 	/**
-	 * Returns the form used in problem documents and reports.
+	 * Returns the code used in problem documents and reports.
 	 * @return the code
 	 */
 	public String code() {
--- a/src/main/java/io/shallotspur/outcome/Refusal.java
+++ b/src/main/java/io/shallotspur/outcome/Refusal.java
@@ -1,21 +1,22 @@
 package io.shallotspur.outcome;
 
 /**
- * The end of a request that got no whole answer. Immutable.
+ * Result of a request that did not get a complete answer. Immutable.
  *
- * @param code why
+ * @param code the reason
  * @param outcome whether the request was run; never {@link Outcome#ANSWERED}
- * @param detail a sentence for the caller
- * @param retryAfterMs when it may be worth coming back, in milliseconds from now; 0 if
- * unknown or never
+ * @param detail a description for the caller
+ * @param retryAfterMs delay in milliseconds after which the caller may retry; 0 if
+ * unknown or if a retry is pointless
  */
 public record Refusal(RefusalCode code, Outcome outcome, String detail, long retryAfterMs) {
 
 	/**
 	 * Creates a refusal of a request that was not run.
-	 * @param code why
-	 * @param detail a sentence for the caller
-	 * @param retryAfterMs when to come back, in milliseconds; 0 if unknown or never
+	 * @param code the reason
+	 * @param detail a description for the caller
+	 * @param retryAfterMs delay in milliseconds after which the caller may retry; 0 if
+	 * unknown or if a retry is pointless
 	 * @return the refusal
 	 */
 	public static Refusal notRun(RefusalCode code, String detail, long retryAfterMs) {
@@ -23,9 +24,9 @@
 	}
 
 	/**
-	 * Creates the end of a request that may have been run.
-	 * @param code why
-	 * @param detail a sentence for the caller
+	 * Creates a refusal of a request that may have been run.
+	 * @param code the reason
+	 * @param detail a description for the caller
 	 * @return the refusal
 	 */
 	public static Refusal outcomeUnknown(RefusalCode code, String detail) {
--- a/src/main/java/io/shallotspur/outcome/RefusalCode.java
+++ b/src/main/java/io/shallotspur/outcome/RefusalCode.java
@@ -1,32 +1,33 @@
 package io.shallotspur.outcome;
 
 /**
- * Why a request got no answer. Each constant is one problem type of the callers' API.
+ * Reasons why a request was refused or got no complete answer. Each constant is a problem
+ * type of the API for callers.
  */
 public enum RefusalCode {
 
 	/**
-	 * The request could not be read.
+	 * The request could not be parsed or contains an invalid value.
 	 */
 	MALFORMED_REQUEST("malformed-request", 400),
 
 	/**
-	 * No contract has the key that the caller presented.
+	 * No contract contains the key that the caller sent.
 	 */
 	UNAUTHORIZED("unauthorized", 401),
 
 	/**
-	 * The contract has no such class.
+	 * The contract does not contain the requested class.
 	 */
 	UNKNOWN_CLASS("unknown-class", 404),
 
 	/**
-	 * There is no such upstream.
+	 * The upstream does not exist or does not serve the class.
 	 */
 	UNKNOWN_UPSTREAM("unknown-upstream", 404),
 
 	/**
-	 * No contract is in force for the customer.
+	 * There is no active contract for the customer.
 	 */
 	UNKNOWN_CUSTOMER("unknown-customer", 404),
 
@@ -36,27 +37,27 @@
 	BODY_TOO_LARGE("body-too-large", 413),
 
 	/**
-	 * The class may not be repeated and the request has no Idempotency-Key.
+	 * Requests of the class are not repeatable and the request has no Idempotency-Key.
 	 */
 	KEY_REQUIRED("key-required", 400),
 
 	/**
-	 * The Idempotency-Key was used before with another body.
+	 * The Idempotency-Key was already used with a different body.
 	 */
 	KEY_REUSED("key-reused", 422),
 
 	/**
-	 * The Idempotency-Key is older than the window in which it is remembered.
+	 * The Idempotency-Key is older than the period for which keys are retained.
 	 */
 	KEY_EXPIRED("key-expired", 409),
 
 	/**
-	 * The request could not be answered within its targets at the present load.
+	 * The request cannot be answered within its latency targets at the current load.
 	 */
 	DEADLINE_INFEASIBLE("deadline-infeasible", 503),
 
 	/**
-	 * The deadline passed while the request waited or ran.
+	 * The deadline expired while the request was queued or running.
 	 */
 	DEADLINE_PASSED("deadline-passed", 504),
 
@@ -66,42 +67,42 @@
 	QUEUE_FULL("queue-full", 503),
 
 	/**
-	 * The upstream has no worker that takes new work.
+	 * The upstream has no worker that accepts new requests.
 	 */
 	NO_WORKER("no-worker", 503),
 
 	/**
-	 * This entry VM is leaving and takes no new work.
+	 * This entry VM is draining and accepts no new requests.
 	 */
 	DRAINING("draining", 503),
 
 	/**
-	 * The request was forwarded as often as is allowed and met no owner.
+	 * The request reached the maximum number of forwards without reaching an owner.
 	 */
 	HOP_LIMIT("hop-limit", 503),
 
 	/**
-	 * The intent to run could not be recorded, so the request was not run.
+	 * The intent to run the request could not be stored, so the request was not run.
 	 */
 	STORE_UNAVAILABLE("store-unavailable", 503),
 
 	/**
-	 * The request crashed workers before and is not run again.
+	 * The request is quarantined because it crashed workers earlier; it is not run again.
 	 */
 	QUARANTINED("quarantined", 422),
 
 	/**
-	 * The worker that ran the request was lost, and no try is left.
+	 * The worker that ran the request was lost, and the request cannot be retried.
 	 */
 	WORKER_LOST("worker-lost", 502),
 
 	/**
-	 * The customer has used up its retries.
+	 * The retry budget of the customer is exhausted.
 	 */
 	RETRY_BUDGET("retry-budget", 503),
 
 	/**
-	 * The request may have been run and its answer is lost.
+	 * The request may have been run, and its answer is lost.
 	 */
 	OUTCOME_UNKNOWN("outcome-unknown", 502);
 
@@ -109,13 +110,13 @@
 
 	private final int httpStatus;
 
-	RefusalCode(String code, int status) {
+	RefusalCode(String code, int httpStatus) {
 		this.code = code;
-		this.httpStatus = status;
+		this.httpStatus = httpStatus;
 	}
 
 	/**
-	 * Returns the last part of the problem type.
+	 * Returns the last segment of the problem type.
 	 * @return the code, in kebab case
 	 */
 	public String code() {
@@ -123,8 +124,8 @@
 	}
 
 	/**
-	 * Returns the HTTP status that goes with this refusal.
-	 * @return the status code
+	 * Returns the HTTP status of responses with this code.
+	 * @return the HTTP status code
 	 */
 	public int httpStatus() {
 		return this.httpStatus;
--- a/src/main/java/io/shallotspur/outcome/package-info.java
+++ b/src/main/java/io/shallotspur/outcome/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What a caller is told at the end of its request, and whether the request was run.
+ * Final result of a request as reported to the caller: whether the request was run, and
+ * why it was refused.
  */
 @NullMarked
 package io.shallotspur.outcome;
