--- a/src/main/java/io/shallotspur/resume/ResumeException.java
+++ b/src/main/java/io/shallotspur/resume/ResumeException.java
@@ -5,7 +5,7 @@
 import io.shallotspur.exc.ShallotspurException;
 
 /**
- * A resume token is refused. Nothing of the token is in the message.
+ * Thrown when a resume token is refused. The message contains no part of the token.
  */
 public final class ResumeException extends ShallotspurException {
 
@@ -13,7 +13,7 @@
 
 	/**
 	 * Creates an exception.
-	 * @param fault why the token is refused
+	 * @param fault the reason
 	 */
 	public ResumeException(ResumeFault fault) {
 		super("the resume token is refused: " + fault.name().toLowerCase(Locale.ROOT).replace('_', ' '), null, null);
@@ -21,8 +21,8 @@
 	}
 
 	/**
-	 * Returns why the token is refused.
-	 * @return the fault
+	 * Returns the reason why the token is refused.
+	 * @return the reason
 	 */
 	public ResumeFault getFault() {
 		return this.fault;
--- a/src/main/java/io/shallotspur/resume/ResumeFault.java
+++ b/src/main/java/io/shallotspur/resume/ResumeFault.java
@@ -1,32 +1,32 @@
 package io.shallotspur.resume;
 
 /**
- * Why a resume token is refused.
+ * Reasons why a resume token is refused.
  */
 public enum ResumeFault {
 
 	/**
-	 * It is no token of this program.
+	 * The token does not have the expected format.
 	 */
 	MALFORMED,
 
 	/**
-	 * It was signed with a key that is not, or no longer, in the settings.
+	 * The token names a signing key that is not, or no longer, in the settings.
 	 */
 	UNKNOWN_KEY,
 
 	/**
-	 * Its signature does not match.
+	 * The signature of the token does not match.
 	 */
 	FORGED,
 
 	/**
-	 * It is too old.
+	 * The token has expired.
 	 */
 	EXPIRED,
 
 	/**
-	 * It belongs to another customer.
+	 * The token was issued to another customer.
 	 */
 	OTHER_CUSTOMER
 
--- a/src/main/java/io/shallotspur/resume/ResumeKey.java
+++ b/src/main/java/io/shallotspur/resume/ResumeKey.java
@@ -1,15 +1,15 @@
 package io.shallotspur.resume;
 
 /**
- * A secret that signs tokens. Immutable; the array is copied.
+ * Key that signs and verifies resume tokens. The constructor copies the array.
  *
- * @param id names the key in tokens; not secret
- * @param secret at least 32 bytes
+ * @param id identifies the key in tokens; not secret
+ * @param secret the HMAC secret, at least {@value #MIN_SECRET_BYTES} bytes
  */
 public record ResumeKey(String id, byte[] secret) {
 
 	/**
-	 * The fewest bytes of a secret.
+	 * Minimum length of a secret, in bytes.
 	 */
 	public static final int MIN_SECRET_BYTES = 32;
 
--- a/src/main/java/io/shallotspur/resume/ResumeTokens.java
+++ b/src/main/java/io/shallotspur/resume/ResumeTokens.java
@@ -17,106 +17,109 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Makes and checks resume tokens: a MessagePack claim and its HMAC-SHA-256, each in
- * base64url with a dot between them. Immutable and thread-safe.
+ * Issues and verifies resume tokens. A token consists of the claims in MessagePack and
+ * their HMAC-SHA-256, each encoded in base64url and separated by a dot. Immutable and
+ * thread-safe.
  * <p>
- * Invariant: a claim is returned only if one of the keys signed it, for that customer,
- * and its time has not run out. The first key signs; all keys verify, so a key is rotated
- * by adding the new one last on all nodes, then moving it first, then removing the old.
+ * Invariant: claims are returned only if one of the keys signed them, they belong to the
+ * given customer and the token has not expired. The first key signs and all keys verify,
+ * so a key is rotated by adding the new one last on all nodes, then moving it first, then
+ * removing the old one.
  */
 public final class ResumeTokens {
 
 	private static final String ALGORITHM = "HmacSHA256";
 
-	private static final int MAX_LENGTH = 2_048;
+	private static final int MAX_TOKEN_LENGTH = 2_048;
 
-	private final Map<String, ResumeKey> keys = new LinkedHashMap<>();
+	private final Map<String, ResumeKey> keysById = new LinkedHashMap<>();
 
-	private final ResumeKey signer;
+	private final ResumeKey signingKey;
 
 	private final long ttlMs;
 
 	/**
-	 * Creates a maker of tokens.
-	 * @param keys the keys, the one that signs first; at least one
-	 * @param ttlMs how long a token is good, in milliseconds
+	 * Creates an instance that issues and verifies tokens.
+	 * @param keys the keys, at least one; the first one signs
+	 * @param ttlMs how long a token is valid, in milliseconds
 	 */
 	public ResumeTokens(List<ResumeKey> keys, long ttlMs) {
 		if (keys.isEmpty()) {
-			throw new IllegalArgumentException("there must be a resume key");
+			throw new IllegalArgumentException("at least one resume key is required");
 		}
-		keys.forEach((k) -> this.keys.put(k.id(), k));
-		this.signer = keys.get(0);
+		keys.forEach((k) -> this.keysById.put(k.id(), k));
+		this.signingKey = keys.get(0);
 		this.ttlMs = ttlMs;
 	}
 
 	/**
-	 * Makes a token.
-	 * @param claim what it says
-	 * @param now the present time in milliseconds
-	 * @return the token, made of characters that fit in a header
+	 * Issues a token.
+	 * @param claims the contents of the token
+	 * @param now the current time in milliseconds
+	 * @return the token, which contains only characters that are allowed in a header
 	 */
-	public String issue(ResumeClaims claim, long now) {
-		try (MessageBufferPacker p = MessagePack.newDefaultBufferPacker()) {
-			p.packString(this.signer.id()).packLong(now + this.ttlMs);
-			p.packString(claim.customer()).packString(claim.workerId()).packString(claim.streamId());
-			p.packLong(claim.firstTokenIndex()).packLong(claim.contractRevision());
-			byte[] body = p.toByteArray();
-			Base64.Encoder b64 = Base64.getUrlEncoder().withoutPadding();
-			return b64.encodeToString(body) + "." + b64.encodeToString(sign(this.signer, body));
+	public String issue(ResumeClaims claims, long now) {
+		try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
+			packer.packString(this.signingKey.id()).packLong(now + this.ttlMs);
+			packer.packString(claims.customer()).packString(claims.workerId()).packString(claims.streamId());
+			packer.packLong(claims.firstTokenIndex()).packLong(claims.contractRevision());
+			byte[] body = packer.toByteArray();
+			Base64.Encoder encoder = Base64.getUrlEncoder().withoutPadding();
+			return encoder.encodeToString(body) + "." + encoder.encodeToString(sign(this.signingKey, body));
 		}
 		catch (IOException ex) {
-			throw new IllegalStateException("a buffer in memory does no input or output", ex);
+			throw new IllegalStateException("unexpected I/O error while writing to an in-memory buffer", ex);
 		}
 	}
 
 	/**
-	 * Checks a token.
+	 * Verifies a token.
 	 * @param token the token as the caller sent it
-	 * @param customer the customer that the caller proved to be
-	 * @param now the present time in milliseconds
-	 * @return what the token says
-	 * @throws ResumeException if it is refused
+	 * @param customer the authenticated customer of the caller
+	 * @param now the current time in milliseconds
+	 * @return the contents of the token
+	 * @throws ResumeException if the token is refused
 	 */
 	public ResumeClaims verify(String token, String customer, long now) throws ResumeException {
 		int dot = token.indexOf('.');
-		if (dot <= 0 || token.length() > MAX_LENGTH) {
+		if (dot <= 0 || token.length() > MAX_TOKEN_LENGTH) {
 			throw new ResumeException(ResumeFault.MALFORMED);
 		}
 		byte[] body = decode(token.substring(0, dot));
-		byte[] mac = decode(token.substring(dot + 1));
-		try (MessageUnpacker u = MessagePack.newDefaultUnpacker(body)) {
-			ResumeKey key = this.keys.get(u.unpackString());
+		byte[] signature = decode(token.substring(dot + 1));
+		try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(body)) {
+			ResumeKey key = this.keysById.get(unpacker.unpackString());
 			if (key == null) {
 				throw new ResumeException(ResumeFault.UNKNOWN_KEY);
 			}
-			// Compared in constant time, so that its duration tells a forger nothing.
-			if (!MessageDigest.isEqual(mac, sign(key, body))) {
+			// Constant-time comparison; its duration reveals nothing about the signature.
+			if (!MessageDigest.isEqual(signature, sign(key, body))) {
 				throw new ResumeException(ResumeFault.FORGED);
 			}
-			long expiresAt = u.unpackLong();
-			ResumeClaims c = new ResumeClaims(u.unpackString(), u.unpackString(), u.unpackString(), u.unpackLong(),
-					u.unpackLong());
-			return check(c, customer, expiresAt, now);
+			long expiresAt = unpacker.unpackLong();
+			ResumeClaims claims = new ResumeClaims(unpacker.unpackString(), unpacker.unpackString(),
+					unpacker.unpackString(), unpacker.unpackLong(), unpacker.unpackLong());
+			return checkClaims(claims, customer, expiresAt, now);
 		}
 		catch (IOException | RuntimeException ex) {
 			throw new ResumeException(ResumeFault.MALFORMED);
 		}
 	}
 
-	private static ResumeClaims check(ResumeClaims c, String customer, long expiresAt, long now) throws ResumeException {
+	private static ResumeClaims checkClaims(ResumeClaims claims, String customer, long expiresAt, long now)
+			throws ResumeException {
 		if (now >= expiresAt) {
 			throw new ResumeException(ResumeFault.EXPIRED);
 		}
-		if (!c.customer().equals(customer)) {
+		if (!claims.customer().equals(customer)) {
 			throw new ResumeException(ResumeFault.OTHER_CUSTOMER);
 		}
-		return c;
+		return claims;
 	}
 
-	private static byte[] decode(String s) throws ResumeException {
+	private static byte[] decode(String text) throws ResumeException {
 		try {
-			return Base64.getUrlDecoder().decode(s.getBytes(StandardCharsets.ISO_8859_1));
+			return Base64.getUrlDecoder().decode(text.getBytes(StandardCharsets.ISO_8859_1));
 		}
 		catch (IllegalArgumentException ex) {
 			throw new ResumeException(ResumeFault.MALFORMED);
@@ -130,7 +133,7 @@
 			return mac.doFinal(body);
 		}
 		catch (GeneralSecurityException ex) {
-			throw new IllegalStateException("every JDK has HmacSHA256", ex);
+			throw new IllegalStateException("HmacSHA256 is not available in this Java runtime", ex);
 		}
 	}
 
--- a/src/main/java/io/shallotspur/resume/package-info.java
+++ b/src/main/java/io/shallotspur/resume/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Tokens with which a caller can fetch the rest of an answer through another entry VM.
+ * Signed tokens with which a caller can resume a streamed answer through another entry
+ * VM.
  */
 @NullMarked
 package io.shallotspur.resume;
