--- a/src/main/java/io/shallotspur/boot/ClusterReadings.java
+++ b/src/main/java/io/shallotspur/boot/ClusterReadings.java
@@ -58,7 +58,7 @@
 	 * @return the owner
 	 */
 	Owner ownerOfWorker(String workerId) {
-		return this.cluster.cells().ofWorker(workerId).<Owner>map((p) -> {
+		return this.cluster.cells().findByWorker(workerId).<Owner>map((p) -> {
 			boolean own = p.owner().id().equals(self().id());
 			return own ? new Owner.Self(p.cell().name()) : new Owner.Peer(p.owner().peerAddress());
 		}).orElseGet(Owner.Nobody::new);
--- a/src/main/java/io/shallotspur/cell/CellAction.java
+++ b/src/main/java/io/shallotspur/cell/CellAction.java
@@ -14,12 +14,12 @@
 	 *
 	 * @param requestId the request
 	 * @param attempt unique among the attempts of the scheduler
-	 * @param prefillWorker the worker that reads the prompt
-	 * @param decodeWorker the worker on which a slot is reserved
-	 * @param resumeFrom tokens the caller already has; they are part of the prompt now
+	 * @param prefillWorkerId the worker that reads the prompt
+	 * @param decodeWorkerId the worker on which a slot is reserved
+	 * @param deliveredTokens tokens the caller already has; they are part of the prompt now
 	 */
-	record StartPrefill(String requestId, long attempt, String prefillWorker, String decodeWorker,
-			int resumeFrom) implements CellAction {
+	record StartPrefill(String requestId, long attempt, String prefillWorkerId, String decodeWorkerId,
+			int deliveredTokens) implements CellAction {
 
 	}
 
@@ -28,11 +28,11 @@
 	 *
 	 * @param requestId the request
 	 * @param attempt unique among the attempts of the scheduler
-	 * @param prefillWorker the worker that holds the KV cache
-	 * @param decodeWorker the worker that is to generate
+	 * @param prefillWorkerId the worker that holds the KV cache
+	 * @param decodeWorkerId the worker that is to generate
 	 */
-	record StartTransfer(String requestId, long attempt, String prefillWorker,
-			String decodeWorker) implements CellAction {
+	record StartTransfer(String requestId, long attempt, String prefillWorkerId,
+			String decodeWorkerId) implements CellAction {
 
 	}
 
@@ -41,9 +41,9 @@
 	 *
 	 * @param requestId the request
 	 * @param attempt unique among the attempts of the scheduler
-	 * @param decodeWorker the worker that is to generate
+	 * @param decodeWorkerId the worker that is to generate
 	 */
-	record StartDecode(String requestId, long attempt, String decodeWorker) implements CellAction {
+	record StartDecode(String requestId, long attempt, String decodeWorkerId) implements CellAction {
 
 	}
 
@@ -52,9 +52,9 @@
 	 *
 	 * @param requestId the request
 	 * @param attempt unique among the attempts of the scheduler
-	 * @param worker the prefill worker
+	 * @param workerId the prefill worker
 	 */
-	record CancelPrefill(String requestId, long attempt, String worker) implements CellAction {
+	record CancelPrefill(String requestId, long attempt, String workerId) implements CellAction {
 
 	}
 
@@ -63,11 +63,11 @@
 	 *
 	 * @param requestId the request
 	 * @param attempt unique among the attempts of the scheduler
-	 * @param prefillWorker the worker that holds the KV cache
-	 * @param decodeWorker the worker that is to generate
+	 * @param prefillWorkerId the worker that holds the KV cache
+	 * @param decodeWorkerId the worker that is to generate
 	 */
-	record CancelTransfer(String requestId, long attempt, String prefillWorker,
-			String decodeWorker) implements CellAction {
+	record CancelTransfer(String requestId, long attempt, String prefillWorkerId,
+			String decodeWorkerId) implements CellAction {
 
 	}
 
@@ -76,9 +76,9 @@
 	 *
 	 * @param requestId the request
 	 * @param attempt unique among the attempts of the scheduler
-	 * @param worker the decode worker
+	 * @param workerId the decode worker
 	 */
-	record CancelDecode(String requestId, long attempt, String worker) implements CellAction {
+	record CancelDecode(String requestId, long attempt, String workerId) implements CellAction {
 
 	}
 
@@ -87,9 +87,9 @@
 	 *
 	 * @param requestId the request
 	 * @param attempt unique among the attempts of the scheduler
-	 * @param worker the prefill worker
+	 * @param workerId the prefill worker
 	 */
-	record ReleaseKv(String requestId, long attempt, String worker) implements CellAction {
+	record ReleaseKv(String requestId, long attempt, String workerId) implements CellAction {
 
 	}
 
--- a/src/main/java/io/shallotspur/cell/CellDispatch.java
+++ b/src/main/java/io/shallotspur/cell/CellDispatch.java
@@ -84,7 +84,7 @@
 				choice.placement = late;
 				return late != null && sparesRoom(late, slots, now);
 			}
-			boolean slot = !this.settings.enabled(CellFeature.RESERVATION) || slots.freeIn(p.readyAt() - now) >= 1;
+			boolean slot = !this.settings.isEnabled(CellFeature.RESERVATION) || slots.freeIn(p.readyAt() - now) >= 1;
 			if (slot && p.worker().isIdle() && p.startAt() <= now) {
 				choice.placement = p;
 				return true;
@@ -109,7 +109,7 @@
 	 * @return where it would go, or {@code null} if nowhere
 	 */
 	@Nullable Placement placeLate(Job j, Placer placer) {
-		boolean warms = this.settings.enabled(CellFeature.WARM_UP) && j.generated == 0 && !j.suspect;
+		boolean warms = this.settings.isEnabled(CellFeature.WARM_UP) && j.generated == 0 && !j.suspect;
 		return warms ? placer.placeLate(j) : null;
 	}
 
@@ -140,7 +140,7 @@
 	 * @return the time in milliseconds
 	 */
 	double firstTokenBy(Job j) {
-		return j.firstTokenBy(40, this.settings.enabled(CellFeature.EARLY_REFUSAL));
+		return j.firstTokenBy(40, this.settings.isEnabled(CellFeature.EARLY_REFUSAL));
 	}
 
 	private static final class Choice {
--- a/src/main/java/io/shallotspur/cell/CellEvent.java
+++ b/src/main/java/io/shallotspur/cell/CellEvent.java
@@ -96,10 +96,10 @@
 	 * A decode step was timed; input of the cost fit.
 	 *
 	 * @param workerId the decode worker
-	 * @param batch requests in the batch
+	 * @param batchSize requests in the batch
 	 * @param stepMs the length of the step in milliseconds
 	 */
-	record StepObserved(String workerId, int batch, double stepMs) implements CellEvent {
+	record StepObserved(String workerId, int batchSize, double stepMs) implements CellEvent {
 
 	}
 
@@ -107,10 +107,10 @@
 	 * A worker reported its load, with a lag.
 	 *
 	 * @param workerId the worker
-	 * @param active the requests it holds
+	 * @param activeRequests the requests it holds
 	 * @param measuredAt when it counted them, in milliseconds
 	 */
-	record LoadReport(String workerId, int active, long measuredAt) implements CellEvent {
+	record LoadReport(String workerId, int activeRequests, long measuredAt) implements CellEvent {
 
 	}
 
@@ -166,9 +166,9 @@
 	 * This node became the owner of the cell. The former one may admit work until it has
 	 * heard of it.
 	 *
-	 * @param until when the former owner has surely stopped, in milliseconds
+	 * @param exclusiveFrom when the former owner has surely stopped, in milliseconds
 	 */
-	record TakenOver(long until) implements CellEvent {
+	record TakeoverStarted(long exclusiveFrom) implements CellEvent {
 
 	}
 
--- a/src/main/java/io/shallotspur/cell/CellFleet.java
+++ b/src/main/java/io/shallotspur/cell/CellFleet.java
@@ -39,11 +39,11 @@
 	void add(Worker worker) {
 		if (worker.role() == WorkerRole.PREFILL) {
 			this.prefill.put(worker.id(),
-					new PrefillWorker(worker, this.settings.priorPrefillMsPerToken(), this.shared));
+					new PrefillWorker(worker, this.settings.initialPrefillMsPerToken(), this.shared));
 		}
 		else if (worker.role() == WorkerRole.DECODE) {
-			DecodeWorker d = new DecodeWorker(worker, this.settings.priorStepMs(),
-					this.settings.priorStepMsPerRequest());
+			DecodeWorker d = new DecodeWorker(worker, this.settings.initialStepMs(),
+					this.settings.initialStepMsPerRequest());
 			d.setSlotLimit(this.slotLimit);
 			this.decode.put(worker.id(), d);
 		}
--- a/src/main/java/io/shallotspur/cell/CellObserver.java
+++ b/src/main/java/io/shallotspur/cell/CellObserver.java
@@ -47,13 +47,13 @@
 		else if (event instanceof CellEvent.StepObserved e) {
 			DecodeWorker d = this.fleet.decode(e.workerId());
 			if (d != null) {
-				d.observeStep(e.batch(), e.stepMs());
+				d.observeStep(e.batchSize(), e.stepMs());
 			}
 		}
 		else if (event instanceof CellEvent.LoadReport e) {
 			DecodeWorker d = this.fleet.decode(e.workerId());
 			if (d != null) {
-				d.recordActiveRequests(e.active());
+				d.recordActiveRequests(e.activeRequests());
 			}
 		}
 		else if (event instanceof CellEvent.CacheChange e) {
--- a/src/main/java/io/shallotspur/cell/CellSettings.java
+++ b/src/main/java/io/shallotspur/cell/CellSettings.java
@@ -8,32 +8,32 @@
  * are learnt or declared by the worker. Immutable.
  *
  * @param features the mechanisms that are enabled
- * @param priorPrefillMsPerToken prefill cost assumed until learnt, default 0.2 ms
- * @param priorStepMs decode step assumed until learnt, default 30 ms
- * @param priorStepMsPerRequest growth of the step per request assumed until learnt,
+ * @param initialPrefillMsPerToken prefill cost assumed until learnt, default 0.2 ms
+ * @param initialStepMs decode step assumed until learnt, default 30 ms
+ * @param initialStepMsPerRequest growth of the step per request assumed until learnt,
  * default 0.5 ms
- * @param priorOutputTokens answer length assumed until learnt, default 200
+ * @param initialOutputTokens answer length assumed until learnt, default 200
  * @param queueLimit the most requests that wait in the cell, default 1024
  * @param lookahead the most waiting requests that one decision looks at, default 64
- * @param kvMarginMs a transfer is begun at least so long before the KV cache would be
+ * @param kvExpiryMarginMs a transfer is begun at least so long before the KV cache would be
  * evicted, default 50 ms
- * @param stallFloorMs the least patience with a transfer beyond its prediction, default
+ * @param minStallMarginMs the least patience with a transfer beyond its prediction, default
  * 60 ms
  * @param retryRatio retries earned per first try, default 0.1
- * @param retryReserve retries a customer may have in ten seconds however few first tries
+ * @param minRetries retries a customer may have in ten seconds however few first tries
  * it had, default 24: the requests of one decode worker
- * @param maxTries the most tries of one request, default 4
+ * @param maxAttempts the most tries of one request, default 4
  * @param slotConfidence standard deviations of doubt that a reservation allows for,
  * default 1
- * @param provenTokens a suspect of one crash that generates so many tokens without
+ * @param suspectClearTokens a suspect of one crash that generates so many tokens without
  * another is not kept apart any more, default 16
  * @param takeoverSlots the slots per decode worker that a new owner uses until the leave
  * of the old one is known, default 4
  */
-public record CellSettings(Set<CellFeature> features, double priorPrefillMsPerToken, double priorStepMs,
-		double priorStepMsPerRequest, int priorOutputTokens, int queueLimit, int lookahead, long kvMarginMs,
-		long stallFloorMs, double retryRatio, double retryReserve, int maxTries, double slotConfidence,
-		int provenTokens, int takeoverSlots) {
+public record CellSettings(Set<CellFeature> features, double initialPrefillMsPerToken, double initialStepMs,
+		double initialStepMsPerRequest, int initialOutputTokens, int queueLimit, int lookahead, long kvExpiryMarginMs,
+		long minStallMarginMs, double retryRatio, double minRetries, int maxAttempts, double slotConfidence,
+		int suspectClearTokens, int takeoverSlots) {
 
 	public CellSettings {
 		features = Set.copyOf(features);
@@ -53,9 +53,9 @@
 	 * @return new settings
 	 */
 	public CellSettings withFeatures(Set<CellFeature> features) {
-		return new CellSettings(features, this.priorPrefillMsPerToken, this.priorStepMs, this.priorStepMsPerRequest,
-				this.priorOutputTokens, this.queueLimit, this.lookahead, this.kvMarginMs, this.stallFloorMs,
-				this.retryRatio, this.retryReserve, this.maxTries, this.slotConfidence, this.provenTokens,
+		return new CellSettings(features, this.initialPrefillMsPerToken, this.initialStepMs, this.initialStepMsPerRequest,
+				this.initialOutputTokens, this.queueLimit, this.lookahead, this.kvExpiryMarginMs, this.minStallMarginMs,
+				this.retryRatio, this.minRetries, this.maxAttempts, this.slotConfidence, this.suspectClearTokens,
 				this.takeoverSlots);
 	}
 
@@ -76,7 +76,7 @@
 	 * @param feature the mechanism
 	 * @return whether it is enabled
 	 */
-	public boolean enabled(CellFeature feature) {
+	public boolean isEnabled(CellFeature feature) {
 		return this.features.contains(feature);
 	}
 
--- a/src/main/java/io/shallotspur/cell/CellSuspects.java
+++ b/src/main/java/io/shallotspur/cell/CellSuspects.java
@@ -29,10 +29,10 @@
 	 * @param now the present time in milliseconds
 	 */
 	void mark(Job j, long now) {
-		boolean apart = this.settings.enabled(CellFeature.CRASH_ISOLATION);
+		boolean apart = this.settings.isEnabled(CellFeature.CRASH_ISOLATION);
 		j.suspect = apart && this.crashes.isSuspect(j.request.fingerprint(), now);
 		if (j.crashes == 0) {
-			j.provenAfter = this.settings.provenTokens();
+			j.provenAfter = this.settings.suspectClearTokens();
 		}
 	}
 
--- a/src/main/java/io/shallotspur/cell/JobFlow.java
+++ b/src/main/java/io/shallotspur/cell/JobFlow.java
@@ -51,7 +51,7 @@
 		this.jobs = jobs;
 		this.queue = queue;
 		this.timers = timers;
-		this.budget = new RetryBudget(new RetryBudgetSettings(settings.retryRatio(), settings.retryReserve(),
+		this.budget = new RetryBudget(new RetryBudgetSettings(settings.retryRatio(), settings.minRetries(),
 				RETRY_WINDOW_MS, MAX_CUSTOMERS));
 		this.random = new Random(seed);
 	}
@@ -89,7 +89,7 @@
 		if (p != null) {
 			p.finishPrefill(job.attempt, job.promptTokens(), computed, now - job.stageSince, now);
 			long ttl = (p.worker().kvTtlMs() > 0) ? p.worker().kvTtlMs() : Long.MAX_VALUE / 4;
-			job.kvUntil = now + Math.max(1, ttl - this.settings.kvMarginMs());
+			job.kvUntil = now + Math.max(1, ttl - this.settings.kvExpiryMarginMs());
 			this.timers.add(job, job.kvUntil - KV_URGENT_MS);
 			this.timers.add(job, job.kvUntil);
 		}
@@ -109,14 +109,14 @@
 		}
 		job.transferMs = d.startTransfer(job.promptTokens(), now);
 		enter(job, Stage.TRANSFERRING, now);
-		if (this.settings.enabled(CellFeature.STALL_DETECTION)) {
+		if (this.settings.isEnabled(CellFeature.STALL_DETECTION)) {
 			this.timers.add(job, stallAt(d));
 		}
 		this.out.accept(new CellAction.StartTransfer(job.request.id(), job.attempt, p.id(), d.id()));
 	}
 
 	long stallAt(DecodeWorker d) {
-		return (long) Math.ceil(d.stallDeadline(this.settings.stallFloorMs()));
+		return (long) Math.ceil(d.stallDeadline(this.settings.minStallMarginMs()));
 	}
 
 	void startDecode(Job job, long now) {
@@ -145,7 +145,7 @@
 		this.out.accept(new CellAction.CancelTransfer(job.request.id(), job.attempt, p.id(), d.id()));
 		letGo(job, now);
 		long ttl = p.worker().kvTtlMs();
-		job.kvUntil = now + Math.max(1, ((ttl > 0) ? ttl : Long.MAX_VALUE / 4) - this.settings.kvMarginMs());
+		job.kvUntil = now + Math.max(1, ((ttl > 0) ? ttl : Long.MAX_VALUE / 4) - this.settings.kvExpiryMarginMs());
 		this.timers.add(job, job.kvUntil);
 		enter(job, Stage.KV_READY, now);
 	}
@@ -179,7 +179,7 @@
 			refuse(job, RefusalCode.OUTCOME_UNKNOWN, "The worker was lost; the request may have been run.", 0, now);
 			return;
 		}
-		if (job.tries >= this.settings.maxTries() || now >= job.request.deadlineAt()) {
+		if (job.tries >= this.settings.maxAttempts() || now >= job.request.deadlineAt()) {
 			refuse(job, cause, "The request failed and no try is left.", 0, now);
 			return;
 		}
@@ -223,7 +223,7 @@
 		job.crashes++;
 		job.provenAfter = job.decodedHere + 2;
 		if (job.crashes == 1) {
-			job.provenAfter = Math.min(job.provenAfter, this.settings.provenTokens());
+			job.provenAfter = Math.min(job.provenAfter, this.settings.suspectClearTokens());
 		}
 		return job.request.fingerprint();
 	}
--- a/src/main/java/io/shallotspur/cell/Placer.java
+++ b/src/main/java/io/shallotspur/cell/Placer.java
@@ -209,7 +209,7 @@
 	}
 
 	private double evictionMs(PrefillWorker p, Job job) {
-		if (!this.settings.enabled(CellFeature.PREFIX_SCORE)) {
+		if (!this.settings.isEnabled(CellFeature.PREFIX_SCORE)) {
 			return 0;
 		}
 		return EVICTION_WEIGHT * p.evictionCostMs(job.request.prefixBlocks(), this.now - RECENT_MS);
@@ -226,10 +226,10 @@
 	}
 
 	private double prefillMs(PrefillWorker p, Job job) {
-		if (!this.settings.enabled(CellFeature.PREFIX_SCORE)) {
+		if (!this.settings.isEnabled(CellFeature.PREFIX_SCORE)) {
 			return p.predictPrefillMs(job.promptTokens());
 		}
-		boolean expected = this.settings.enabled(CellFeature.COALESCING);
+		boolean expected = this.settings.isEnabled(CellFeature.COALESCING);
 		return p.predictPrefillMs(p.uncachedTokens(job.promptTokens(), job.request.prefixBlocks(), expected));
 	}
 
--- a/src/main/java/io/shallotspur/cell/StdCellScheduler.java
+++ b/src/main/java/io/shallotspur/cell/StdCellScheduler.java
@@ -77,7 +77,7 @@
 		this.crashes = crashes;
 		this.fleet = new CellFleet(settings);
 		this.queue = new FairQueue<>(this::share);
-		this.lengths = new OutputLengthSamples(settings.priorOutputTokens());
+		this.lengths = new OutputLengthSamples(settings.initialOutputTokens());
 		this.flow = new JobFlow(settings, this.jobs, this.queue, this.timers, seed);
 		this.observer = new CellObserver(this.fleet, this.jobs, this.flow, crashes);
 		this.suspects = new CellSuspects(settings, crashes, this.flow);
@@ -108,7 +108,7 @@
 	 * Returns how many requests the cell holds, waiting and in flight.
 	 * @return the number of requests
 	 */
-	public int size() {
+	public int activeRequestCount() {
 		return this.jobs.size();
 	}
 
@@ -158,7 +158,7 @@
 	}
 
 	private void submit(ModelRequest r, long now) {
-		Job j = new Job(r, this.settings.enabled(CellFeature.FAIR_QUEUEING) ? r.customer() : "",
+		Job j = new Job(r, this.settings.isEnabled(CellFeature.FAIR_QUEUEING) ? r.customer() : "",
 				this.lengths.sampleFor(r.customer(), r.className()), this.jobs.nextSequence());
 		this.suspects.mark(j, now);
 		if (this.crashes.isQuarantined(r.fingerprint(), now)) {
@@ -229,8 +229,8 @@
 		else if (event instanceof CellEvent.WorkerLeaving e) {
 			this.fleet.leave(e.workerId());
 		}
-		else if (event instanceof CellEvent.TakenOver e) {
-			beginTakeover(e.until());
+		else if (event instanceof CellEvent.TakeoverStarted e) {
+			beginTakeover(e.exclusiveFrom());
 		}
 		else if (event instanceof CellEvent.ContractsChanged e) {
 			this.contracts = e.contracts();
@@ -301,7 +301,7 @@
 	}
 
 	private void checkFeasible(Job j, long now) {
-		if (!this.settings.enabled(CellFeature.EARLY_REFUSAL)) {
+		if (!this.settings.isEnabled(CellFeature.EARLY_REFUSAL)) {
 			return;
 		}
 		Placer p = new Placer(this.fleet, this.settings, 0, now);
--- a/src/main/java/io/shallotspur/demo/CapacityState.java
+++ b/src/main/java/io/shallotspur/demo/CapacityState.java
@@ -19,8 +19,8 @@
 import io.shallotspur.ledger.Shard;
 import io.shallotspur.ledger.ShardCodec;
 import io.shallotspur.locate.CellMap;
-import io.shallotspur.locate.CellPlan;
-import io.shallotspur.locate.CellPlanner;
+import io.shallotspur.locate.CellDefinition;
+import io.shallotspur.locate.CellPartitioner;
 import io.shallotspur.membership.Member;
 import io.shallotspur.membership.MemberStatus;
 import io.shallotspur.membership.View;
@@ -108,8 +108,8 @@
 	private void map() {
 		this.table.section("Locate: CellPlanner and CellMap, 14 upstreams, 5 data centres");
 		this.table.row("plan the cells", "us", "workers", WORKERS,
-				(n) -> this.table.micros(10, (i) -> CellPlanner.plan(workers(n))));
-		List<CellPlan> all = CellPlanner.plan(workers(this.table.scaled(WORKERS[2])));
+				(n) -> this.table.micros(10, (i) -> CellPartitioner.partition(workers(n))));
+		List<CellDefinition> all = CellPartitioner.partition(workers(this.table.scaled(WORKERS[2])));
 		this.table.row("make the map after a change, " + all.size() + " cells", "us", "members", MEMBERS, (n) -> {
 			View v = view(n);
 			return this.table.micros(10, (i) -> CellMap.of(all, Set.of(), v));
@@ -120,8 +120,8 @@
 					(i) -> m.locate("u" + i % UPSTREAMS, "c" + i, 0.001, (c) -> 0.5, this.random));
 		});
 		this.table.row("choose the cell of a request, 780 members", "us", "workers", WORKERS, (n) -> {
-			CellMap m = CellMap.of(CellPlanner.plan(workers(n)), Set.of(), view(this.table.scaled(MEMBERS[2])));
-			return this.table.micros(2000, (i) -> m.choose("u" + i % UPSTREAMS, "c" + i, 0.001, i, (c) -> 0.5));
+			CellMap m = CellMap.of(CellPartitioner.partition(workers(n)), Set.of(), view(this.table.scaled(MEMBERS[2])));
+			return this.table.micros(2000, (i) -> m.selectCell("u" + i % UPSTREAMS, "c" + i, 0.001, i, (c) -> 0.5));
 		});
 	}
 
--- a/src/main/java/io/shallotspur/gateway/Gateway.java
+++ b/src/main/java/io/shallotspur/gateway/Gateway.java
@@ -162,7 +162,7 @@
 		PromptInfo p = r.prompt();
 		if (p != null) {
 			long responseMs = engineTimes(route.chooseUpstream(0)).generationMs(p.expectedOutputTokens());
-			longestMs = Math.min(longestMs, route.targetMs() + (long) (RetryAfter.ANSWER_MARGIN * responseMs));
+			longestMs = Math.min(longestMs, route.latencyTargetMs() + (long) (RetryAfter.ANSWER_MARGIN * responseMs));
 		}
 		return now + longestMs > this.shutdownAt;
 	}
--- a/src/main/java/io/shallotspur/gateway/KeyCheck.java
+++ b/src/main/java/io/shallotspur/gateway/KeyCheck.java
@@ -43,11 +43,11 @@
 	 */
 	static Decision evaluate(RouteTable table, Route route, @Nullable String keyHash, long configAgeMs,
 			long revocationBoundMs) {
-		if (!table.asksForKeys()) {
+		if (!table.requiresKeys()) {
 			return Decision.admitted(null);
 		}
-		Optional<Customer> customer = (keyHash != null) ? table.customer(keyHash) : Optional.empty();
-		if (route.anonymous()) {
+		Optional<Customer> customer = (keyHash != null) ? table.findCustomer(keyHash) : Optional.empty();
+		if (route.allowsAnonymous()) {
 			return Decision.admitted(customer.orElse(null));
 		}
 		if (customer.isPresent()) {
--- a/src/main/java/io/shallotspur/gateway/QuotaLimiter.java
+++ b/src/main/java/io/shallotspur/gateway/QuotaLimiter.java
@@ -75,7 +75,7 @@
 	 * @return 0 if it was taken, else after how many milliseconds there will be room
 	 */
 	long charge(Customer customer, double cost, double share, long now) {
-		if (!customer.quota().limited()) {
+		if (!customer.quota().isLimited()) {
 			return 0;
 		}
 		TokenBucket bucket = bucket(customer, share, now);
@@ -101,9 +101,9 @@
 
 	private TokenBucket bucket(Customer customer, double share, long now) {
 		Quota quota = customer.quota();
-		double perMs = quota.perSecond() * share / MS_PER_S;
+		double perMs = quota.unitsPerSecond() * share / MS_PER_S;
 		double toleratedUnits = this.tolerance.slack() + this.tolerance.overshoot()
-				* (quota.perSecond() * this.tolerance.windowMs() / MS_PER_S + quota.burst());
+				* (quota.unitsPerSecond() * this.tolerance.windowMs() / MS_PER_S + quota.burst());
 		double capacity = share * (quota.burst() + TOLERANCE_SHARE * toleratedUnits);
 		TokenBucket bucket = this.byCustomer.get(customer.name());
 		if (bucket == null) {
--- a/src/main/java/io/shallotspur/gateway/RequestAdmission.java
+++ b/src/main/java/io/shallotspur/gateway/RequestAdmission.java
@@ -73,7 +73,7 @@
 			refuse(RelayRefusal.notRun(RefusalReason.NO_CONFIGURATION, STARTUP_RETRY_MS), now);
 			return;
 		}
-		Optional<Route> r = t.find(this.request.host(), this.request.path());
+		Optional<Route> r = t.findRoute(this.request.host(), this.request.path());
 		if (r.isEmpty()) {
 			refuse(new RelayRefusal(NOT_FOUND, RefusalReason.NO_ROUTE, 0), now);
 		}
@@ -102,7 +102,7 @@
 			return;
 		}
 		this.awaitingConfig = true;
-		long timeoutMs = Math.min(MAX_CONFIG_REFRESH_MS, Math.max(1, (long) (CONFIG_REFRESH_SHARE * r.targetMs())));
+		long timeoutMs = Math.min(MAX_CONFIG_REFRESH_MS, Math.max(1, (long) (CONFIG_REFRESH_SHARE * r.latencyTargetMs())));
 		this.cancelTimer = this.gateway.timer.schedule(timeoutMs, this::configRefreshed);
 		this.gateway.refreshConfig(this::configRefreshed);
 	}
@@ -134,7 +134,7 @@
 
 	private double quotaCost(Customer c) {
 		PromptInfo p = this.request.prompt();
-		return (p != null) ? c.quota().cost(p.promptTokens(), p.maxOutputTokens()) : c.quota().plainCost();
+		return (p != null) ? c.quota().cost(p.promptTokens(), p.maxOutputTokens()) : c.quota().plainRequestCost();
 	}
 
 	private void relay(AdmittedRequest a, long now) {
--- a/src/main/java/io/shallotspur/gateway/RequestPlacement.java
+++ b/src/main/java/io/shallotspur/gateway/RequestPlacement.java
@@ -120,7 +120,7 @@
 		// end.
 		this.waitStartedAt = now;
 		EngineSpec engineSpec = this.engine;
-		boolean reserves = engineSpec != null && engineSpec.holdMs() > 0 && this.request.prompt() != null;
+		boolean reserves = engineSpec != null && engineSpec.maxReservationMs() > 0 && this.request.prompt() != null;
 		Optional<WorkerState> first = this.candidates.soonestAvailable(stage(), this.triedWorkers, now);
 		long limitWait = first.map((w) -> this.gateway.workerLimits.waitMs(w, now)).orElse(0L);
 		if (first.isEmpty()) {
@@ -230,13 +230,13 @@
 
 	@Override
 	public long latestStart() {
-		return this.firstArrivalAt + this.route.targetMs()
+		return this.firstArrivalAt + this.route.latencyTargetMs()
 				- this.gateway.engineTimes(this.upstream).timeToFirstEventMs();
 	}
 
 	@Override
 	public long waitDeadline() {
-		long maxWaitEnd = this.waitStartedAt + (long) (MAX_WAIT_OBJECTIVES * this.route.targetMs());
+		long maxWaitEnd = this.waitStartedAt + (long) (MAX_WAIT_OBJECTIVES * this.route.latencyTargetMs());
 		return Math.min(this.deadline - generationMs(), maxWaitEnd);
 	}
 
@@ -254,7 +254,7 @@
 
 	@Override
 	public long reservationMs() {
-		return (this.engine != null) ? this.engine.holdMs() : 0;
+		return (this.engine != null) ? this.engine.maxReservationMs() : 0;
 	}
 
 	@Override
@@ -306,13 +306,13 @@
 	private boolean wouldStall(PromptInfo prompt) {
 		return this.engine != null && this.gateway.engineTimes(this.upstream)
 			.statistics()
-			.filter((f) -> f.wouldStall(prompt.promptTokens(), this.engine.eventTokens(), this.route.gapMs()))
+			.filter((f) -> f.wouldStall(prompt.promptTokens(), this.engine.tokensPerEvent(), this.route.maxEventGapMs()))
 			.isPresent();
 	}
 
 	// Follows the duration of recent prefills, within the lifetime of the reservation.
 	private long prefillTimeoutMs() {
-		long defaultMs = Math.max(MIN_PREFILL_TIMEOUT_MS, (long) (this.route.targetMs() * TARGET_PREFILL_FRACTION));
+		long defaultMs = Math.max(MIN_PREFILL_TIMEOUT_MS, (long) (this.route.latencyTargetMs() * TARGET_PREFILL_FRACTION));
 		long maxMs = Math.max(defaultMs, (long) (RESERVATION_PREFILL_FRACTION * reservationMs()));
 		long expectedMs = this.gateway.engineTimes(this.upstream).prefillTimeoutMs();
 		return (expectedMs > 0) ? Math.min(maxMs, Math.max(MIN_PREFILL_TIMEOUT_MS, expectedMs)) : defaultMs;
@@ -375,7 +375,7 @@
 	}
 
 	private boolean isCacheValid(KvSource s, long now) {
-		long ttl = (this.engine != null) ? this.engine.handleTtlMs() : 0;
+		long ttl = (this.engine != null) ? this.engine.kvHandleTtlMs() : 0;
 		return this.gateway.roster.isCurrentInstance(s.worker()) && (ttl <= 0 || now - this.prefilledAt < ttl);
 	}
 
--- a/src/main/java/io/shallotspur/gateway/ResponseProgress.java
+++ b/src/main/java/io/shallotspur/gateway/ResponseProgress.java
@@ -24,7 +24,7 @@
 	 * @param lastEventId the event after which the response resumes, or {@code null}
 	 */
 	ResponseProgress(@Nullable EngineSpec engine, @Nullable String lastEventId) {
-		this.tokensPerEvent = (engine != null) ? engine.eventTokens() : 0;
+		this.tokensPerEvent = (engine != null) ? engine.tokensPerEvent() : 0;
 		this.lastEventId = lastEventId;
 	}
 
--- a/src/main/java/io/shallotspur/locate/CellPlan.java
+++ b/src/main/java/io/shallotspur/locate/CellDefinition.java
@@ -11,9 +11,9 @@
  * @param upstream the upstream
  * @param workers the workers, in order of their ids
  */
-public record CellPlan(String name, String upstream, List<Worker> workers) {
+public record CellDefinition(String name, String upstream, List<Worker> workers) {
 
-	public CellPlan {
+	public CellDefinition {
 		workers = List.copyOf(workers);
 	}
 
--- a/src/main/java/io/shallotspur/locate/CellMap.java
+++ b/src/main/java/io/shallotspur/locate/CellMap.java
@@ -41,9 +41,9 @@
 
 	private final View view;
 
-	private final Map<String, List<Placement>> byUpstream;
+	private final Map<String, List<OwnedCell>> byUpstream;
 
-	private CellMap(View view, Map<String, List<Placement>> byUpstream) {
+	private CellMap(View view, Map<String, List<OwnedCell>> byUpstream) {
 		this.view = view;
 		this.byUpstream = byUpstream;
 	}
@@ -55,14 +55,14 @@
 	 * @param view the membership
 	 * @return the map
 	 */
-	public static CellMap of(List<CellPlan> plans, Set<String> leaving, View view) {
-		Map<String, List<Placement>> m = new HashMap<>();
-		for (CellPlan c : plans) {
+	public static CellMap of(List<CellDefinition> plans, Set<String> leaving, View view) {
+		Map<String, List<OwnedCell>> m = new HashMap<>();
+		for (CellDefinition c : plans) {
 			boolean open = c.workers().stream().anyMatch((w) -> !leaving.contains(w.id()));
 			if (open) {
 				view.owner(c.name())
 					.ifPresent(
-							(o) -> m.computeIfAbsent(c.upstream(), (u) -> new ArrayList<>()).add(new Placement(c, o)));
+							(o) -> m.computeIfAbsent(c.upstream(), (u) -> new ArrayList<>()).add(new OwnedCell(c, o)));
 			}
 		}
 		return new CellMap(view, m);
@@ -72,7 +72,7 @@
 	 * Returns the cells that this VM owns.
 	 * @return the cells in order of their names
 	 */
-	public List<CellPlan> own() {
+	public List<CellDefinition> ownCells() {
 		return cells(true);
 	}
 
@@ -80,7 +80,7 @@
 	 * Returns the cells that other VMs own.
 	 * @return the cells in order of their names
 	 */
-	public List<CellPlan> others() {
+	public List<CellDefinition> remoteCells() {
 		return cells(false);
 	}
 
@@ -89,7 +89,7 @@
 	 * @param workerId the worker
 	 * @return the cell and its owner, or empty if the worker is in no open cell
 	 */
-	public Optional<Placement> ofWorker(String workerId) {
+	public Optional<OwnedCell> findByWorker(String workerId) {
 		return this.byUpstream.values()
 			.stream()
 			.flatMap(List::stream)
@@ -97,13 +97,13 @@
 			.findFirst();
 	}
 
-	private List<CellPlan> cells(boolean own) {
+	private List<CellDefinition> cells(boolean own) {
 		return this.byUpstream.values()
 			.stream()
 			.flatMap(List::stream)
 			.filter((p) -> p.owner().id().equals(this.view.self().id()) == own)
-			.map(Placement::cell)
-			.sorted(Comparator.comparing(CellPlan::name))
+			.map(OwnedCell::cell)
+			.sorted(Comparator.comparing(CellDefinition::name))
 			.toList();
 	}
 
@@ -117,9 +117,9 @@
 	 * @param load the load of a cell from 0 to 1, by name; 0 if not known
 	 * @return the cell and its owner, or empty if the upstream has no open cell
 	 */
-	public Optional<Placement> choose(String upstream, String customer, double share, long prefix,
+	public Optional<OwnedCell> selectCell(String upstream, String customer, double share, long prefix,
 			ToDoubleFunction<String> load) {
-		List<Placement> l = ranked(customerCells(upstream, customer, share), Long.toHexString(prefix));
+		List<OwnedCell> l = ranked(customerCells(upstream, customer, share), Long.toHexString(prefix));
 		double mean = l.stream().mapToDouble((p) -> load.applyAsDouble(p.cell().name())).average().orElse(0);
 		double bound = Math.max(LOAD_FLOOR, mean * LOAD_BOUND);
 		return l.stream()
@@ -142,13 +142,13 @@
 	 */
 	public List<String> locate(String upstream, String customer, double share, ToDoubleFunction<String> load,
 			Random random) {
-		List<Placement> cells = new ArrayList<>(customerCells(upstream, customer, share));
-		Map<Placement, Double> keys = new HashMap<>();
-		for (Placement p : cells) {
+		List<OwnedCell> cells = new ArrayList<>(customerCells(upstream, customer, share));
+		Map<OwnedCell, Double> keys = new HashMap<>();
+		for (OwnedCell p : cells) {
 			double free = Math.max(LOAD_FLOOR, 1 - load.applyAsDouble(p.cell().name()));
 			keys.put(p, Math.pow(random.nextDouble(), 1 / free));
 		}
-		cells.sort(Comparator.comparing((Placement p) -> -keys.get(p)));
+		cells.sort(Comparator.comparing((OwnedCell p) -> -keys.get(p)));
 		Map<String, Member> found = new LinkedHashMap<>();
 		cells.forEach((p) -> found.putIfAbsent(p.owner().id(), p.owner()));
 		addOthers(found, random);
@@ -170,18 +170,18 @@
 		}
 	}
 
-	private List<Placement> customerCells(String upstream, String customer, double share) {
-		List<Placement> all = this.byUpstream.getOrDefault(upstream, List.of());
+	private List<OwnedCell> customerCells(String upstream, String customer, double share) {
+		List<OwnedCell> all = this.byUpstream.getOrDefault(upstream, List.of());
 		// One cell more than the share needs, so that the customer is not tied to
 		// one that is busy with others.
 		int count = (int) Math.min(all.size(), Math.ceil(share * all.size()) + 1);
 		return ranked(all, customer).subList(0, count);
 	}
 
-	private static List<Placement> ranked(List<Placement> cells, String key) {
+	private static List<OwnedCell> ranked(List<OwnedCell> cells, String key) {
 		long k = HASH.hashChars(key);
 		return cells.stream()
-			.sorted(Comparator.comparingLong((Placement p) -> HASH.hashLong(k ^ HASH.hashChars(p.cell().name()))))
+			.sorted(Comparator.comparingLong((OwnedCell p) -> HASH.hashLong(k ^ HASH.hashChars(p.cell().name()))))
 			.toList();
 	}
 
@@ -191,7 +191,7 @@
 	 * @param cell the cell
 	 * @param owner the entry VM
 	 */
-	public record Placement(CellPlan cell, Member owner) {
+	public record OwnedCell(CellDefinition cell, Member owner) {
 
 	}
 
--- a/src/main/java/io/shallotspur/locate/CellPlanner.java
+++ b/src/main/java/io/shallotspur/locate/CellPartitioner.java
@@ -21,7 +21,7 @@
  * {@link io.shallotspur.routing.CellLayout}, so that each cell has both roles and keeps
  * within a hall where it can; those of a larger plain service are spread evenly.
  */
-public final class CellPlanner {
+public final class CellPartitioner {
 
 	/**
 	 * The most workers in a cell.
@@ -32,7 +32,7 @@
 
 	private static final Comparator<Worker> BY_ID = Comparator.comparing(Worker::id);
 
-	private CellPlanner() {
+	private CellPartitioner() {
 	}
 
 	/**
@@ -40,15 +40,15 @@
 	 * @param workers all workers
 	 * @return the cells in order of their names
 	 */
-	public static List<CellPlan> plan(Collection<Worker> workers) {
+	public static List<CellDefinition> partition(Collection<Worker> workers) {
 		Map<String, List<Worker>> byUpstream = new TreeMap<>();
 		workers.forEach((w) -> byUpstream.computeIfAbsent(w.upstream(), (u) -> new ArrayList<>()).add(w));
-		List<CellPlan> cells = new ArrayList<>();
+		List<CellDefinition> cells = new ArrayList<>();
 		byUpstream.forEach((upstream, list) -> divide(upstream, list, cells));
 		return List.copyOf(cells);
 	}
 
-	private static void divide(String upstream, List<Worker> workers, List<CellPlan> out) {
+	private static void divide(String upstream, List<Worker> workers, List<CellDefinition> out) {
 		if (workers.size() <= MAX_WORKERS) {
 			out.add(cell(upstream, upstream, workers));
 		}
@@ -62,7 +62,7 @@
 		}
 	}
 
-	private static void dividePlain(String upstream, List<Worker> workers, List<CellPlan> out) {
+	private static void dividePlain(String upstream, List<Worker> workers, List<CellDefinition> out) {
 		int count = (workers.size() + MAX_WORKERS - 1) / MAX_WORKERS;
 		int room = (workers.size() + count - 1) / count;
 		List<List<Worker>> cells = new ArrayList<>();
@@ -91,8 +91,8 @@
 		return best;
 	}
 
-	private static CellPlan cell(String name, String upstream, List<Worker> workers) {
-		return new CellPlan(name, upstream, workers.stream().sorted(BY_ID).toList());
+	private static CellDefinition cell(String name, String upstream, List<Worker> workers) {
+		return new CellDefinition(name, upstream, workers.stream().sorted(BY_ID).toList());
 	}
 
 }
--- a/src/main/java/io/shallotspur/locate/LoadTable.java
+++ b/src/main/java/io/shallotspur/locate/LoadTable.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /**
- * The last load heard of each cell. Not thread-safe. What is older than {@link #KEEP_MS}
+ * The last load heard of each cell. Not thread-safe. What is older than {@link #MAX_AGE_MS}
  * counts as unknown.
  */
 public final class LoadTable {
@@ -15,7 +15,7 @@
 	/**
 	 * How long a load counts, in milliseconds.
 	 */
-	public static final long KEEP_MS = 10_000;
+	public static final long MAX_AGE_MS = 10_000;
 
 	private final Map<String, Heard> loads = new HashMap<>();
 
@@ -24,7 +24,7 @@
 	 * @param load the load
 	 * @param now the present time in milliseconds
 	 */
-	public void hear(CellLoad load, long now) {
+	public void recordIfNewer(CellLoad load, long now) {
 		long at = now - load.ageMs();
 		Heard old = this.loads.get(load.cell());
 		if (old == null || at > old.at()) {
@@ -40,7 +40,7 @@
 	 */
 	public double load(String cell, long now) {
 		Heard h = this.loads.get(cell);
-		return (h != null && now - h.at() <= KEEP_MS) ? h.load() : 0;
+		return (h != null && now - h.at() <= MAX_AGE_MS) ? h.load() : 0;
 	}
 
 	/**
@@ -50,7 +50,7 @@
 	 * @return the loads
 	 */
 	public List<CellLoad> latest(int count, long now) {
-		this.loads.values().removeIf((h) -> now - h.at() > KEEP_MS);
+		this.loads.values().removeIf((h) -> now - h.at() > MAX_AGE_MS);
 		List<CellLoad> l = new ArrayList<>();
 		this.loads.forEach((cell, h) -> l.add(new CellLoad(cell, h.load(), now - h.at())));
 		l.sort(Comparator.comparingLong(CellLoad::ageMs).thenComparing(CellLoad::cell));
--- a/src/main/java/io/shallotspur/node/ModelService.java
+++ b/src/main/java/io/shallotspur/node/ModelService.java
@@ -113,7 +113,7 @@
 	 * while less is admitted, so that the two together do not overfill the engines.
 	 */
 	void takeOver() {
-		this.loop.submit(new CellEvent.TakenOver(this.ports.clock().getAsLong() + TAKEOVER_MS));
+		this.loop.submit(new CellEvent.TakeoverStarted(this.ports.clock().getAsLong() + TAKEOVER_MS));
 	}
 
 	/**
@@ -168,16 +168,16 @@
 			startDecode(a);
 		}
 		else if (action instanceof CellAction.CancelPrefill a) {
-			this.attempts.stop(a.attempt(), a.worker());
+			this.attempts.stop(a.attempt(), a.workerId());
 		}
 		else if (action instanceof CellAction.CancelTransfer a) {
-			this.attempts.stop(a.attempt(), a.decodeWorker());
+			this.attempts.stop(a.attempt(), a.decodeWorkerId());
 		}
 		else if (action instanceof CellAction.CancelDecode a) {
-			this.attempts.stop(a.attempt(), a.worker());
+			this.attempts.stop(a.attempt(), a.workerId());
 		}
 		else if (action instanceof CellAction.ReleaseKv a) {
-			this.attempts.drop(a.attempt(), a.worker());
+			this.attempts.drop(a.attempt(), a.workerId());
 		}
 		else if (action instanceof CellAction.Refuse a) {
 			refuse(a.requestId(), a.refusal());
@@ -190,12 +190,12 @@
 			return;
 		}
 		s.attempts().forEach(this.attempts::giveUp);
-		ModelAttempt a = this.attempts.open(s, p.attempt(), p.decodeWorker());
+		ModelAttempt a = this.attempts.open(s, p.attempt(), p.decodeWorkerId());
 		if (s.needsIntent()) {
-			recordIntent(a, p.prefillWorker());
+			recordIntent(a, p.prefillWorkerId());
 		}
 		else {
-			prefill(a, p.prefillWorker());
+			prefill(a, p.prefillWorkerId());
 		}
 	}
 
@@ -251,18 +251,18 @@
 		if (a == null) {
 			return;
 		}
-		a.decodeWorker(t.decodeWorker());
-		Mono<Void> m = Mono.zip(this.ports.worker(t.prefillWorker()), this.ports.worker(t.decodeWorker()))
+		a.decodeWorker(t.decodeWorkerId());
+		Mono<Void> m = Mono.zip(this.ports.worker(t.prefillWorkerId()), this.ports.worker(t.decodeWorkerId()))
 			.flatMap((w) -> this.ports.engine().transfer(w.getT1(), w.getT2(), a.streamId()));
 		a.call(m.subscribe((x) -> {
-		}, (ex) -> failed(ex, t.decodeWorker(), new CellEvent.TransferFailed(a.number())),
+		}, (ex) -> failed(ex, t.decodeWorkerId(), new CellEvent.TransferFailed(a.number())),
 				() -> this.loop.submit(new CellEvent.TransferDone(a.number()))));
 	}
 
 	private void startDecode(CellAction.StartDecode d) {
 		ModelAttempt a = this.attempts.get(d.attempt());
 		if (a != null) {
-			a.decodeWorker(d.decodeWorker());
+			a.decodeWorker(d.decodeWorkerId());
 			a.session().answer(decode(a));
 		}
 	}
--- a/src/main/java/io/shallotspur/node/cluster/ClusterService.java
+++ b/src/main/java/io/shallotspur/node/cluster/ClusterService.java
@@ -26,8 +26,8 @@
 import io.shallotspur.fleet.Worker;
 import io.shallotspur.locate.CellLoad;
 import io.shallotspur.locate.CellMap;
-import io.shallotspur.locate.CellPlan;
-import io.shallotspur.locate.CellPlanner;
+import io.shallotspur.locate.CellDefinition;
+import io.shallotspur.locate.CellPartitioner;
 import io.shallotspur.locate.LoadTable;
 import io.shallotspur.membership.Member;
 import io.shallotspur.membership.Membership;
@@ -77,7 +77,7 @@
 
 	private final LongSupplier clock;
 
-	private final List<CellPlan> plans;
+	private final List<CellDefinition> plans;
 
 	private final Random random;
 
@@ -111,7 +111,7 @@
 		this.network = ports.network();
 		this.scheduler = ports.scheduler();
 		this.clock = ports.clock();
-		this.plans = CellPlanner.plan(workers);
+		this.plans = CellPartitioner.partition(workers);
 		this.random = new Random(LongHashFunction.xx3().hashLong(seed));
 		Membership m = new Membership(self, MembershipSettings.DEFAULT, seed, now());
 		this.membership = new MembershipLoop(m, this.network, this.scheduler, this.clock);
@@ -250,7 +250,7 @@
 	public Owner find(String upstream, String customer, long prefix) {
 		double share = this.contracts.contracts().find(customer).map(Contract::share).orElse(1.0);
 		long now = now();
-		return this.cells.choose(upstream, customer, share, prefix, (cell) -> load(cell, now))
+		return this.cells.selectCell(upstream, customer, share, prefix, (cell) -> load(cell, now))
 			.<Owner>map((p) -> isSelf(p.owner()) ? new Owner.Self(p.cell().name())
 					: new Owner.Peer(p.owner().peerAddress()))
 			.orElseGet(Owner.Nobody::new);
@@ -280,7 +280,7 @@
 
 	private void tell(CellSink s, CellMap m, Set<String> leaving) {
 		Set<String> own = new HashSet<>();
-		for (CellPlan c : m.own()) {
+		for (CellDefinition c : m.ownCells()) {
 			own.add(c.name());
 			CellAssignment a = assignment(c, leaving);
 			if (!a.equals(this.assigned.put(c.name(), a))) {
@@ -295,7 +295,7 @@
 				s.revoke(lost);
 			}
 		}
-		for (CellPlan c : m.others()) {
+		for (CellDefinition c : m.remoteCells()) {
 			CellAssignment a = assignment(c, Set.of());
 			if (!a.equals(this.known.put(c.name(), a))) {
 				s.know(a);
@@ -303,7 +303,7 @@
 		}
 	}
 
-	private static CellAssignment assignment(CellPlan c, Set<String> leaving) {
+	private static CellAssignment assignment(CellDefinition c, Set<String> leaving) {
 		return new CellAssignment(c.name(), c.upstream(),
 				c.workers().stream().filter((w) -> !leaving.contains(w.id())).toList());
 	}
@@ -312,7 +312,7 @@
 		List<CellLoad> own = this.ownLoads.get();
 		List<CellLoad> heard;
 		synchronized (this.loads) {
-			own.forEach((l) -> this.loads.hear(l, now()));
+			own.forEach((l) -> this.loads.recordIfNewer(l, now()));
 			heard = this.loads.latest(LOADS_HEARD, now());
 		}
 		if (heard.isEmpty()) {
@@ -329,7 +329,7 @@
 
 	private void hear(ClusterNotice.Loads m) {
 		synchronized (this.loads) {
-			m.loads().forEach((l) -> this.loads.hear(l, now()));
+			m.loads().forEach((l) -> this.loads.recordIfNewer(l, now()));
 		}
 	}
 
--- a/src/main/java/io/shallotspur/replay/ModelLane.java
+++ b/src/main/java/io/shallotspur/replay/ModelLane.java
@@ -145,23 +145,23 @@
 			startPrefill(a);
 		}
 		else if (action instanceof CellAction.StartTransfer a) {
-			startTransfer(this.attempts.get(a.attempt()), a.decodeWorker());
+			startTransfer(this.attempts.get(a.attempt()), a.decodeWorkerId());
 		}
 		else if (action instanceof CellAction.StartDecode a) {
-			startDecode(this.attempts.get(a.attempt()), a.decodeWorker());
+			startDecode(this.attempts.get(a.attempt()), a.decodeWorkerId());
 		}
 		else if (action instanceof CellAction.CancelPrefill a) {
-			drop(this.attempts.get(a.attempt()), a.worker());
+			drop(this.attempts.get(a.attempt()), a.workerId());
 		}
 		else if (action instanceof CellAction.ReleaseKv a) {
-			order(a.worker(), () -> this.engines.prefill(a.worker()).cancel(a.attempt()));
+			order(a.workerId(), () -> this.engines.prefill(a.workerId()).cancel(a.attempt()));
 		}
 		else if (action instanceof CellAction.CancelTransfer a) {
-			cancelTransfer(this.attempts.get(a.attempt()), a.decodeWorker());
+			cancelTransfer(this.attempts.get(a.attempt()), a.decodeWorkerId());
 		}
 		else if (action instanceof CellAction.CancelDecode a) {
 			this.attempts.get(a.attempt()).close();
-			order(a.worker(), () -> this.engines.decode(a.worker()).cancel(a.attempt()));
+			order(a.workerId(), () -> this.engines.decode(a.workerId()).cancel(a.attempt()));
 		}
 		else if (action instanceof CellAction.Refuse a) {
 			this.desk.refused(this.runs.get(a.requestId()), a.refusal());
@@ -171,11 +171,11 @@
 	private void startPrefill(CellAction.StartPrefill action) {
 		Run run = this.runs.get(action.requestId());
 		run.dispatch();
-		String worker = action.prefillWorker();
-		Attempt a = new Attempt(action.attempt(), run, worker, action.resumeFrom());
+		String worker = action.prefillWorkerId();
+		Attempt a = new Attempt(action.attempt(), run, worker, action.deliveredTokens());
 		this.attempts.put(a.id(), a);
 		this.book.useNow(worker, this.queue.now());
-		if (action.resumeFrom() != run.delivered()) {
+		if (action.deliveredTokens() != run.delivered()) {
 			this.desk.brokenAnswer(run);
 		}
 		TraceLine.Tokens t = PromptHash.tokens(run);
--- a/src/main/java/io/shallotspur/route/Quota.java
+++ b/src/main/java/io/shallotspur/route/Quota.java
@@ -4,12 +4,12 @@
  * How much a customer may ask for, over all VMs together. Immutable.
  *
  * @param unit what is counted
- * @param perSecond what may be asked for in a second, in units; 0 for no limit
+ * @param unitsPerSecond what may be asked for in a second, in units; 0 for no limit
  * @param burst what may be asked for at once after a pause, in units
- * @param plainTokens the tokens that a request without a prompt counts as, where tokens
+ * @param plainRequestTokens the tokens that a request without a prompt counts as, where tokens
  * are counted
  */
-public record Quota(QuotaUnit unit, double perSecond, double burst, int plainTokens) {
+public record Quota(QuotaUnit unit, double unitsPerSecond, double burst, int plainRequestTokens) {
 
 	/** No limit. */
 	public static final Quota UNLIMITED = new Quota(QuotaUnit.REQUESTS, 0, 0, 0);
@@ -18,16 +18,16 @@
 	 * Tells whether there is a limit.
 	 * @return {@code false} if everything may be asked for
 	 */
-	public boolean limited() {
-		return this.perSecond > 0;
+	public boolean isLimited() {
+		return this.unitsPerSecond > 0;
 	}
 
 	/**
 	 * Returns what a request without a prompt takes.
 	 * @return units
 	 */
-	public double plainCost() {
-		return (this.unit == QuotaUnit.TOKENS) ? this.plainTokens : 1;
+	public double plainRequestCost() {
+		return (this.unit == QuotaUnit.TOKENS) ? this.plainRequestTokens : 1;
 	}
 
 	/**
--- a/src/main/java/io/shallotspur/route/Route.java
+++ b/src/main/java/io/shallotspur/route/Route.java
@@ -7,22 +7,22 @@
  *
  * @param name the operator's name for it
  * @param host the host it belongs to, in lower case
- * @param prefix what the path begins with; begins and ends with a slash
+ * @param pathPrefix what the path begins with; begins and ends with a slash
  * @param kind what may be repeated
  * @param targets the upstreams that serve it; at least one
  * @param timeoutMs the longest time a request may be kept waiting, in milliseconds
- * @param targetMs the latency objective in milliseconds (streams: up to the first event)
- * @param gapMs the longest pause between two events that is still on time, in
+ * @param latencyTargetMs the latency objective in milliseconds (streams: up to the first event)
+ * @param maxEventGapMs the longest pause between two events that is still on time, in
  * milliseconds; 0 for routes that are not streams
  * @param priority the rank; 0 is the highest
  * @param maxAttempts the most workers that one request may be sent to; at least 1
  * @param resumable whether a broken stream may go on at another worker
- * @param carriesPrompts whether its requests say what their prompt consists of
- * @param anonymous whether its callers need no key
+ * @param hasPromptMetadata whether its requests say what their prompt consists of
+ * @param allowsAnonymous whether its callers need no key
  */
-public record Route(String name, String host, String prefix, RouteKind kind, List<RouteTarget> targets, long timeoutMs,
-		long targetMs, long gapMs, int priority, int maxAttempts, boolean resumable, boolean carriesPrompts,
-		boolean anonymous) {
+public record Route(String name, String host, String pathPrefix, RouteKind kind, List<RouteTarget> targets, long timeoutMs,
+		long latencyTargetMs, long maxEventGapMs, int priority, int maxAttempts, boolean resumable, boolean hasPromptMetadata,
+		boolean allowsAnonymous) {
 
 	/**
 	 * Creates a route; the list of targets is copied.
--- a/src/main/java/io/shallotspur/route/RouteTable.java
+++ b/src/main/java/io/shallotspur/route/RouteTable.java
@@ -24,7 +24,7 @@
 
 	private final Map<String, Customer> byKeyHash;
 
-	private final boolean asksForKeys;
+	private final boolean requiresKeys;
 
 	/**
 	 * Creates a table.
@@ -49,7 +49,7 @@
 			List<Customer> customers) {
 		this.version = version;
 		this.limits = limits;
-		this.asksForKeys = !customers.isEmpty();
+		this.requiresKeys = !customers.isEmpty();
 		Map<String, Customer> byKey = new HashMap<>();
 		customers.forEach((c) -> c.keyHashes().forEach((k) -> byKey.put(k, c)));
 		this.byKeyHash = Map.copyOf(byKey);
@@ -63,7 +63,7 @@
 		Map<String, List<Route>> m = new HashMap<>();
 		routes.forEach((r) -> m.computeIfAbsent(r.host(), (h) -> new ArrayList<>()).add(r));
 		// The longest prefix first, so that the first match is the right one.
-		Comparator<Route> longest = Comparator.comparingInt((Route r) -> -r.prefix().length());
+		Comparator<Route> longest = Comparator.comparingInt((Route r) -> -r.pathPrefix().length());
 		m.replaceAll((h, l) -> l.stream().sorted(longest).toList());
 		return Map.copyOf(m);
 	}
@@ -96,8 +96,8 @@
 	 * Tells whether callers must show whose they are.
 	 * @return {@code false} if the operator keeps no customers
 	 */
-	public boolean asksForKeys() {
-		return this.asksForKeys;
+	public boolean requiresKeys() {
+		return this.requiresKeys;
 	}
 
 	/**
@@ -105,7 +105,7 @@
 	 * @param keyHash the hash of the key
 	 * @return the customer, or empty if no customer has the key
 	 */
-	public Optional<Customer> customer(String keyHash) {
+	public Optional<Customer> findCustomer(String keyHash) {
 		return Optional.ofNullable(this.byKeyHash.get(keyHash));
 	}
 
@@ -125,11 +125,11 @@
 	 * @param path the path, without a query
 	 * @return the route, or empty if none matches
 	 */
-	public Optional<Route> find(String host, String path) {
+	public Optional<Route> findRoute(String host, String path) {
 		int colon = host.lastIndexOf(':');
 		String h = ((colon > 0) ? host.substring(0, colon) : host).toLowerCase(Locale.ROOT);
 		for (Route r : this.byHost.getOrDefault(h, List.of())) {
-			if (path.startsWith(r.prefix())) {
+			if (path.startsWith(r.pathPrefix())) {
 				return Optional.of(r);
 			}
 		}
--- a/src/main/java/io/shallotspur/stage/ThroughputModel.java
+++ b/src/main/java/io/shallotspur/stage/ThroughputModel.java
@@ -32,7 +32,7 @@
 	}
 
 	private static double places(EngineSpec engine, double tokens) {
-		return Math.min(engine.slots(), engine.cacheTokens() / Math.max(1, tokens));
+		return Math.min(engine.slots(), engine.kvCacheTokens() / Math.max(1, tokens));
 	}
 
 	/**
--- a/src/test/java/io/shallotspur/cell/CellDriver.java
+++ b/src/test/java/io/shallotspur/cell/CellDriver.java
@@ -189,13 +189,13 @@
 			startPrefill(a);
 		}
 		else if (action instanceof CellAction.StartTransfer a) {
-			this.transferring.put(a.attempt(), a.decodeWorker());
+			this.transferring.put(a.attempt(), a.decodeWorkerId());
 			at(this.now + TRANSFER_MS, () -> endTransfer(a));
 		}
 		else if (action instanceof CellAction.StartDecode a) {
 			this.transferring.remove(a.attempt());
-			this.decoding.put(a.attempt(), a.decodeWorker());
-			step(a, this.attempts.get(a.attempt()).resumeFrom());
+			this.decoding.put(a.attempt(), a.decodeWorkerId());
+			step(a, this.attempts.get(a.attempt()).deliveredTokens());
 		}
 		else if (action instanceof CellAction.CancelPrefill a) {
 			this.prefilling.remove(a.attempt());
@@ -216,16 +216,16 @@
 
 	private void startPrefill(CellAction.StartPrefill a) {
 		this.attempts.put(a.attempt(), a);
-		this.prefilling.put(a.attempt(), a.prefillWorker());
+		this.prefilling.put(a.attempt(), a.prefillWorkerId());
 		ModelRequest r = this.requests.get(a.requestId());
-		Set<Long> cache = this.caches.computeIfAbsent(a.prefillWorker(), (k) -> new HashSet<>());
+		Set<Long> cache = this.caches.computeIfAbsent(a.prefillWorkerId(), (k) -> new HashSet<>());
 		boolean held = r.prefixBlocks().length > 0 && cache.contains(r.prefixBlocks()[0]);
-		int tokens = r.promptTokens() + a.resumeFrom();
+		int tokens = r.promptTokens() + a.deliveredTokens();
 		int missing = held ? tokens - r.prefixBlocks().length * ModelRequest.BLOCK_TOKENS : tokens;
 		at(this.now + Math.round(missing * PREFILL_MS_PER_TOKEN), () -> {
 			if (this.prefilling.remove(a.attempt()) != null) {
 				this.computed.merge(a.requestId(), (long) missing, Long::sum);
-				this.kv.put(a.attempt(), a.prefillWorker());
+				this.kv.put(a.attempt(), a.prefillWorkerId());
 				for (long b : r.prefixBlocks()) {
 					cache.add(b);
 				}
@@ -235,7 +235,7 @@
 	}
 
 	private void endTransfer(CellAction.StartTransfer a) {
-		if (this.transferring.containsKey(a.attempt()) && !this.stalledWorkers.contains(a.decodeWorker())) {
+		if (this.transferring.containsKey(a.attempt()) && !this.stalledWorkers.contains(a.decodeWorkerId())) {
 			event(new CellEvent.TransferDone(a.attempt()));
 		}
 	}
@@ -246,7 +246,7 @@
 				return;
 			}
 			if (this.poison.contains(a.requestId()) && done >= this.poisonAfter) {
-				crash(a.decodeWorker());
+				crash(a.decodeWorkerId());
 				return;
 			}
 			this.firstTokenAt.putIfAbsent(a.requestId(), this.now);
--- a/src/test/java/io/shallotspur/cell/CellFailureTests.java
+++ b/src/test/java/io/shallotspur/cell/CellFailureTests.java
@@ -18,7 +18,7 @@
 	/**
 	 * What a suspect needs to generate the tokens that clear it, but for one step.
 	 */
-	private static final long PROOF_MS = (CellSettings.defaults().provenTokens() - 1) * 40L;
+	private static final long PROOF_MS = (CellSettings.defaults().suspectClearTokens() - 1) * 40L;
 
 	private static CellDriver cell(int prefill, int decode) {
 		return CellDriver.of(CellSettings.defaults(), prefill, decode, 20);
@@ -26,7 +26,7 @@
 
 	private static void assertNothingHeld(CellDriver d) {
 		assertThat(d.idle()).isTrue();
-		assertThat(d.scheduler.size()).isZero();
+		assertThat(d.scheduler.activeRequestCount()).isZero();
 	}
 
 	@Test
@@ -62,8 +62,8 @@
 		assertThat(d.completed).containsExactly("r1");
 		List<CellAction.StartPrefill> starts = d.starts();
 		assertThat(starts).hasSize(2);
-		assertThat(starts.get(1).resumeFrom()).isPositive();
-		assertThat(starts.get(1).decodeWorker()).isNotEqualTo(worker);
+		assertThat(starts.get(1).deliveredTokens()).isPositive();
+		assertThat(starts.get(1).decodeWorkerId()).isNotEqualTo(worker);
 		assertNothingHeld(d);
 	}
 
@@ -92,7 +92,7 @@
 		d.crash(worker);
 		d.runTo(20_000);
 		assertThat(d.completed).containsExactly("r1");
-		assertThat(d.starts().get(1).prefillWorker()).isNotEqualTo(worker);
+		assertThat(d.starts().get(1).prefillWorkerId()).isNotEqualTo(worker);
 		assertNothingHeld(d);
 	}
 
@@ -165,10 +165,10 @@
 		assertThat(d.completed).contains("r1");
 		d.actions.subList(before, d.actions.size()).forEach((a) -> {
 			if (a instanceof CellAction.StartPrefill s) {
-				assertThat(s.prefillWorker()).isNotEqualTo("p1");
+				assertThat(s.prefillWorkerId()).isNotEqualTo("p1");
 			}
 			if (a instanceof CellAction.StartTransfer s) {
-				assertThat(s.decodeWorker()).isNotEqualTo(worker);
+				assertThat(s.decodeWorkerId()).isNotEqualTo(worker);
 			}
 		});
 		assertNothingHeld(d);
@@ -231,7 +231,7 @@
 		// way, each resend would cost one more worker.
 		CellDriver d = cell(2, 8);
 		d.poison.add("bad");
-		d.poisonAfter = CellSettings.defaults().provenTokens() + 10;
+		d.poisonAfter = CellSettings.defaults().suspectClearTokens() + 10;
 		for (int i = 0; i < 6 && !d.refused.containsKey("bad"); i++) {
 			int before = d.crashed.size();
 			d.submit(d.request("bad", "a", 0, 5400), 100);
@@ -270,7 +270,7 @@
 		// Two nodes may both believe that they own a cell. The new one admits a few
 		// requests per worker only, so that the engines' memory is not promised twice.
 		CellDriver d = cell(4, 2);
-		d.scheduler.handle(new CellEvent.TakenOver(6000), 0, (a) -> {
+		d.scheduler.handle(new CellEvent.TakeoverStarted(6000), 0, (a) -> {
 		});
 		Set<Integer> seen = new HashSet<>();
 		for (int i = 0; i < 40; i++) {
--- a/src/test/java/io/shallotspur/cell/CellSchedulerPropertyTests.java
+++ b/src/test/java/io/shallotspur/cell/CellSchedulerPropertyTests.java
@@ -42,7 +42,7 @@
 		d.runTo(d.now + 40_000);
 		assertEachEndedOnce(d, gone);
 		assertThat(d.idle()).as("%s %s %s %s", d.prefilling, d.kv, d.transferring, d.decoding).isTrue();
-		assertThat(d.scheduler.size()).isZero();
+		assertThat(d.scheduler.activeRequestCount()).isZero();
 	}
 
 	private static void disturb(CellDriver d, Random random) {
--- a/src/test/java/io/shallotspur/cell/StdCellSchedulerTests.java
+++ b/src/test/java/io/shallotspur/cell/StdCellSchedulerTests.java
@@ -16,7 +16,7 @@
 		assertThat(d.completed).hasSize(6);
 		assertThat(d.refused).isEmpty();
 		assertThat(d.idle()).isTrue();
-		assertThat(d.scheduler.size()).isZero();
+		assertThat(d.scheduler.activeRequestCount()).isZero();
 	}
 
 	@Test
--- a/src/test/java/io/shallotspur/gateway/QuotaTests.java
+++ b/src/test/java/io/shallotspur/gateway/QuotaTests.java
@@ -40,7 +40,7 @@
 
 	@Test
 	void plainRequestsHaveTheConfiguredCost() {
-		Assertions.assertThat(TOKENS.plainCost()).isEqualTo(200);
+		Assertions.assertThat(TOKENS.plainRequestCost()).isEqualTo(200);
 		Assertions.assertThat(TOKENS.cost(1_460, 80)).isEqualTo(1_540);
 		Assertions.assertThat(new Quota(QuotaUnit.REQUESTS, 5, 5, 200).cost(1_460, 80)).isEqualTo(1);
 	}
@@ -194,9 +194,9 @@
 				.mapToDouble(Charge::cost)
 				.sum();
 			long startCount = starts.stream().filter((t) -> t >= begin && t < begin + WINDOW_MS).count();
-			double quota = q.perSecond() * WINDOW_MS / 1_000 + q.burst();
+			double quota = q.unitsPerSecond() * WINDOW_MS / 1_000 + q.burst();
 			double max = quota + (TOLERANCE.overshoot() * quota + TOLERANCE.slack()) / 2 + (vms + startCount) * MAX_COST
-					+ startCount * q.perSecond() / vms / 2;
+					+ startCount * q.unitsPerSecond() / vms / 2;
 			Assertions.assertThat(sum).as("seed %d", seed).isLessThanOrEqualTo(max);
 		}
 	}
--- a/src/test/java/io/shallotspur/locate/CellMapTests.java
+++ b/src/test/java/io/shallotspur/locate/CellMapTests.java
@@ -31,21 +31,21 @@
 		for (int i = 0; i < 30; i++) {
 			l.add(new Worker("m-extra-" + i, "m", "hall-x", WorkerRole.PREFILL, "", 0, 24_000, 800, 0, 0));
 		}
-		List<CellPlan> cells = CellPlanner.plan(l);
+		List<CellDefinition> cells = CellPartitioner.partition(l);
 		assertThat(cells).isNotEmpty().allSatisfy((c) -> {
 			assertThat(c.workers()).anyMatch((w) -> w.role() == WorkerRole.DECODE);
 			assertThat(c.workers()).anyMatch((w) -> w.role() == WorkerRole.PREFILL);
-			assertThat(c.workers()).hasSizeLessThanOrEqualTo(CellPlanner.MAX_WORKERS);
+			assertThat(c.workers()).hasSizeLessThanOrEqualTo(CellPartitioner.MAX_WORKERS);
 		});
 	}
 
 	@Test
 	void aSmallUpstreamIsOneCellAndALargeOneIsDividedByHall() {
-		assertThat(CellPlanner.plan(Workers.model("small", 16))).hasSize(1);
-		List<CellPlan> cells = CellPlanner.plan(Workers.model("large", 480));
+		assertThat(CellPartitioner.partition(Workers.model("small", 16))).hasSize(1);
+		List<CellDefinition> cells = CellPartitioner.partition(Workers.model("large", 480));
 		assertThat(cells).hasSize(42);
-		for (CellPlan c : cells) {
-			assertThat(c.workers()).hasSizeLessThanOrEqualTo(CellPlanner.MAX_WORKERS)
+		for (CellDefinition c : cells) {
+			assertThat(c.workers()).hasSizeLessThanOrEqualTo(CellPartitioner.MAX_WORKERS)
 				.anyMatch((w) -> w.role() == WorkerRole.PREFILL)
 				.anyMatch((w) -> w.role() == WorkerRole.DECODE);
 			assertThat(c.workers().stream().map(Worker::hall).distinct()).hasSize(1);
@@ -55,10 +55,10 @@
 	@Test
 	void aWorkerLessMovesFewOthers() {
 		List<Worker> all = Workers.model("large", 480);
-		Map<String, String> before = cellOf(CellPlanner.plan(all));
+		Map<String, String> before = cellOf(CellPartitioner.partition(all));
 		List<Worker> rest = new ArrayList<>(all);
 		rest.remove(100);
-		Map<String, String> after = cellOf(CellPlanner.plan(rest));
+		Map<String, String> after = cellOf(CellPartitioner.partition(rest));
 		assertThat(after.entrySet().stream().filter((e) -> !e.getValue().equals(before.get(e.getKey()))))
 			.hasSizeLessThan(40);
 	}
@@ -66,11 +66,11 @@
 	@Test
 	void onePrefixStaysInOneCellUnlessThatIsBusy() {
 		CellMap m = map(Workers.model("m", 480), Set.of(), view(20));
-		String first = m.choose("m", "c", 0.2, 42, (c) -> 0).orElseThrow().cell().name();
-		assertThat(m.choose("m", "c", 0.2, 42, (c) -> 0.5).orElseThrow().cell().name()).isEqualTo(first);
-		String other = m.choose("m", "c", 0.2, 42, (c) -> c.equals(first) ? 0.9 : 0.3).orElseThrow().cell().name();
+		String first = m.selectCell("m", "c", 0.2, 42, (c) -> 0).orElseThrow().cell().name();
+		assertThat(m.selectCell("m", "c", 0.2, 42, (c) -> 0.5).orElseThrow().cell().name()).isEqualTo(first);
+		String other = m.selectCell("m", "c", 0.2, 42, (c) -> c.equals(first) ? 0.9 : 0.3).orElseThrow().cell().name();
 		assertThat(other).isNotEqualTo(first);
-		assertThat(m.choose("none", "c", 0.2, 42, (c) -> 0)).isEmpty();
+		assertThat(m.selectCell("none", "c", 0.2, 42, (c) -> 0)).isEmpty();
 	}
 
 	/**
@@ -108,14 +108,14 @@
 		List<Worker> workers = Workers.model("m", 4);
 		Set<String> leaving = new HashSet<>();
 		workers.forEach((w) -> leaving.add(w.id()));
-		assertThat(map(workers, leaving, view(3)).choose("m", "c", 1, 0, (c) -> 0)).isEmpty();
+		assertThat(map(workers, leaving, view(3)).selectCell("m", "c", 1, 0, (c) -> 0)).isEmpty();
 	}
 
 	private static CellMap map(List<Worker> workers, Set<String> leaving, View view) {
-		return CellMap.of(CellPlanner.plan(workers), leaving, view);
+		return CellMap.of(CellPartitioner.partition(workers), leaving, view);
 	}
 
-	private static Map<String, String> cellOf(List<CellPlan> cells) {
+	private static Map<String, String> cellOf(List<CellDefinition> cells) {
 		Map<String, String> m = new HashMap<>();
 		cells.forEach((c) -> c.workers().forEach((w) -> m.put(w.id(), c.name())));
 		return m;
--- a/src/test/java/io/shallotspur/node/CellHostTests.java
+++ b/src/test/java/io/shallotspur/node/CellHostTests.java
@@ -36,7 +36,7 @@
 	void aNewOwnerAdmitsLessUntilTheFormerOneHasSurelyStopped() {
 		CellHost h = host();
 		h.assign(new CellAssignment("m/0", "m", List.of()));
-		assertThat(this.scheduler.takeovers()).hasSize(1).allMatch((e) -> e.until() > NOW);
+		assertThat(this.scheduler.takeovers()).hasSize(1).allMatch((e) -> e.exclusiveFrom() > NOW);
 		h.revoke("m/0");
 		h.assign(new CellAssignment("m/0", "m", List.of()));
 		assertThat(this.scheduler.takeovers()).hasSize(2);
@@ -84,10 +84,10 @@
 			return Long.MAX_VALUE;
 		}
 
-		List<CellEvent.TakenOver> takeovers() {
+		List<CellEvent.TakeoverStarted> takeovers() {
 			return this.events.stream()
-				.filter(CellEvent.TakenOver.class::isInstance)
-				.map(CellEvent.TakenOver.class::cast)
+				.filter(CellEvent.TakeoverStarted.class::isInstance)
+				.map(CellEvent.TakeoverStarted.class::cast)
 				.toList();
 		}
 
--- a/src/test/java/io/shallotspur/platform/CustomerConfigTests.java
+++ b/src/test/java/io/shallotspur/platform/CustomerConfigTests.java
@@ -25,7 +25,7 @@
 	}
 
 	private static Customer customer(RouteTable t, String key) {
-		return t.customer(BearerKey.hash(key)).orElseThrow();
+		return t.findCustomer(BearerKey.hash(key)).orElseThrow();
 	}
 
 	@Test
@@ -36,14 +36,14 @@
 		Customer c = customer(t, "k2");
 		Assertions.assertThat(c.name()).isEqualTo("huka270");
 		Assertions.assertThat(c.quota().unit()).isEqualTo(QuotaUnit.TOKENS);
-		Assertions.assertThat(c.quota().perSecond()).isEqualTo(246_600);
+		Assertions.assertThat(c.quota().unitsPerSecond()).isEqualTo(246_600);
 		Assertions.assertThat(c.quota().burst()).isEqualTo(123_300);
-		Route r = t.find("h", "/r/x").orElseThrow();
+		Route r = t.findRoute("h", "/r/x").orElseThrow();
 		Assertions.assertThat(c.priorityOn(r)).isEqualTo(1);
-		Assertions.assertThat(t.customer(BearerKey.hash("k3"))).isEmpty();
-		Assertions.assertThat(t.asksForKeys()).isTrue();
-		Assertions.assertThat(r.anonymous()).isFalse();
-		Assertions.assertThat(t.find("h", "/o/x").orElseThrow().anonymous()).isTrue();
+		Assertions.assertThat(t.findCustomer(BearerKey.hash("k3"))).isEmpty();
+		Assertions.assertThat(t.requiresKeys()).isTrue();
+		Assertions.assertThat(r.allowsAnonymous()).isFalse();
+		Assertions.assertThat(t.findRoute("h", "/o/x").orElseThrow().allowsAnonymous()).isTrue();
 	}
 
 	// A missing or zero rate means no limit. If it were taken as a limit of zero, every
@@ -52,16 +52,16 @@
 	void missingRateAndPriorityUseDefaults() throws IOException, InputException {
 		RouteTable t = decodeTable(
 				",\"tenants\":[{\"name\":\"a\",\"api_keys\":[\"k1\"]},{\"name\":\"b\",\"api_keys\":[\"k2\"],\"rate_per_s\":0}]");
-		Assertions.assertThat(customer(t, "k1").quota().limited()).isFalse();
-		Assertions.assertThat(customer(t, "k2").quota().limited()).isFalse();
-		Assertions.assertThat(customer(t, "k1").priorityOn(t.find("h", "/r/x").orElseThrow())).isEqualTo(2);
+		Assertions.assertThat(customer(t, "k1").quota().isLimited()).isFalse();
+		Assertions.assertThat(customer(t, "k2").quota().isLimited()).isFalse();
+		Assertions.assertThat(customer(t, "k1").priorityOn(t.findRoute("h", "/r/x").orElseThrow())).isEqualTo(2);
 	}
 
 	// The last key of a customer is removed. Its callers must not be served as anonymous.
 	@Test
 	void customerWithoutKeysStillRequiresAKey() throws IOException, InputException {
-		Assertions.assertThat(decodeTable(",\"tenants\":[{\"name\":\"a\",\"api_keys\":[]}]").asksForKeys()).isTrue();
-		Assertions.assertThat(decodeTable("").asksForKeys()).isFalse();
+		Assertions.assertThat(decodeTable(",\"tenants\":[{\"name\":\"a\",\"api_keys\":[]}]").requiresKeys()).isTrue();
+		Assertions.assertThat(decodeTable("").requiresKeys()).isFalse();
 	}
 
 }
--- a/src/test/java/io/shallotspur/route/RouteTableTests.java
+++ b/src/test/java/io/shallotspur/route/RouteTableTests.java
@@ -20,7 +20,7 @@
 	}
 
 	private String find(String host, String path) {
-		return this.table.find(host, path).map(Route::name).orElse("none");
+		return this.table.findRoute(host, path).map(Route::name).orElse("none");
 	}
 
 	@Test
