--- a/src/main/java/io/shallotspur/cell/CellAction.java
+++ b/src/main/java/io/shallotspur/cell/CellAction.java
@@ -3,20 +3,21 @@
 import io.shallotspur.outcome.Refusal;
 
 /**
- * What the scheduler wants done. All actions are immutable. An action is an order to the
- * interpreter (the live node or the replay), which answers with {@link CellEvent}s of the
- * same attempt; an answer to an attempt that has been given up is dropped.
+ * A command that the scheduler issues to its executor (the live node or the replay). All
+ * actions are immutable. The executor reports results as {@link CellEvent}s of the same
+ * attempt; events of an attempt that was cancelled are ignored.
  */
 public sealed interface CellAction {
 
 	/**
-	 * Start a prefill.
+	 * Starts a prefill.
 	 *
 	 * @param requestId the request
-	 * @param attempt unique among the attempts of the scheduler
-	 * @param prefillWorkerId the worker that reads the prompt
+	 * @param attempt the attempt, unique within the scheduler
+	 * @param prefillWorkerId the worker that processes the prompt
 	 * @param decodeWorkerId the worker on which a slot is reserved
-	 * @param deliveredTokens tokens the caller already has; they are part of the prompt now
+	 * @param deliveredTokens output tokens that the caller has already received; they are
+	 * appended to the prompt
 	 */
 	record StartPrefill(String requestId, long attempt, String prefillWorkerId, String decodeWorkerId,
 			int deliveredTokens) implements CellAction {
@@ -24,12 +25,12 @@
 	}
 
 	/**
-	 * Move the KV cache of a finished prefill.
+	 * Transfers the KV cache of a finished prefill to a decode worker.
 	 *
 	 * @param requestId the request
-	 * @param attempt unique among the attempts of the scheduler
+	 * @param attempt the attempt, unique within the scheduler
 	 * @param prefillWorkerId the worker that holds the KV cache
-	 * @param decodeWorkerId the worker that is to generate
+	 * @param decodeWorkerId the worker that generates the answer
 	 */
 	record StartTransfer(String requestId, long attempt, String prefillWorkerId,
 			String decodeWorkerId) implements CellAction {
@@ -37,21 +38,21 @@
 	}
 
 	/**
-	 * Generate. The caller is sent each token as it comes.
+	 * Starts decoding. Each token is sent to the caller as it is generated.
 	 *
 	 * @param requestId the request
-	 * @param attempt unique among the attempts of the scheduler
-	 * @param decodeWorkerId the worker that is to generate
+	 * @param attempt the attempt, unique within the scheduler
+	 * @param decodeWorkerId the worker that generates the answer
 	 */
 	record StartDecode(String requestId, long attempt, String decodeWorkerId) implements CellAction {
 
 	}
 
 	/**
-	 * Stop a prefill, and drop what it computed.
+	 * Cancels a prefill and discards its result.
 	 *
 	 * @param requestId the request
-	 * @param attempt unique among the attempts of the scheduler
+	 * @param attempt the attempt, unique within the scheduler
 	 * @param workerId the prefill worker
 	 */
 	record CancelPrefill(String requestId, long attempt, String workerId) implements CellAction {
@@ -59,12 +60,13 @@
 	}
 
 	/**
-	 * Stop a transfer. The KV cache stays at the prefill worker until {@link ReleaseKv}.
+	 * Cancels a transfer. The KV cache stays on the prefill worker until
+	 * {@link ReleaseKv}.
 	 *
 	 * @param requestId the request
-	 * @param attempt unique among the attempts of the scheduler
+	 * @param attempt the attempt, unique within the scheduler
 	 * @param prefillWorkerId the worker that holds the KV cache
-	 * @param decodeWorkerId the worker that is to generate
+	 * @param decodeWorkerId the worker that generates the answer
 	 */
 	record CancelTransfer(String requestId, long attempt, String prefillWorkerId,
 			String decodeWorkerId) implements CellAction {
@@ -72,10 +74,10 @@
 	}
 
 	/**
-	 * Stop a decode and free its memory.
+	 * Cancels a decode and frees its memory.
 	 *
 	 * @param requestId the request
-	 * @param attempt unique among the attempts of the scheduler
+	 * @param attempt the attempt, unique within the scheduler
 	 * @param workerId the decode worker
 	 */
 	record CancelDecode(String requestId, long attempt, String workerId) implements CellAction {
@@ -83,10 +85,10 @@
 	}
 
 	/**
-	 * Drop the KV cache of a finished prefill.
+	 * Frees the KV cache of a finished prefill.
 	 *
 	 * @param requestId the request
-	 * @param attempt unique among the attempts of the scheduler
+	 * @param attempt the attempt, unique within the scheduler
 	 * @param workerId the prefill worker
 	 */
 	record ReleaseKv(String requestId, long attempt, String workerId) implements CellAction {
@@ -94,10 +96,10 @@
 	}
 
 	/**
-	 * End the request without an answer, or without the rest of one.
+	 * Ends the request without an answer, or before its answer is complete.
 	 *
 	 * @param requestId the request
-	 * @param refusal what the caller is told
+	 * @param refusal the error returned to the caller
 	 */
 	record Refuse(String requestId, Refusal refusal) implements CellAction {
 
--- a/src/main/java/io/shallotspur/cell/CellEvent.java
+++ b/src/main/java/io/shallotspur/cell/CellEvent.java
@@ -4,7 +4,7 @@
 import io.shallotspur.fleet.Worker;
 
 /**
- * Something that happened to a cell. All events are immutable.
+ * An input of the scheduler of a cell. All events are immutable.
  */
 public sealed interface CellEvent {
 
@@ -18,7 +18,7 @@
 	}
 
 	/**
-	 * The caller left or the connection broke: nothing may stay held for it.
+	 * The caller disconnected or cancelled; all resources of the request are released.
 	 *
 	 * @param requestId the request
 	 */
@@ -27,18 +27,18 @@
 	}
 
 	/**
-	 * A prefill finished and its KV cache waits for transfer.
+	 * A prefill finished and its KV cache is ready for transfer.
 	 *
 	 * @param attempt the attempt, as given in {@link CellAction.StartPrefill}
-	 * @param computedTokens the tokens that were computed, that is, not found in the
-	 * prefix cache
+	 * @param computedTokens the prompt tokens that were computed, that is, not found in
+	 * the prefix cache
 	 */
 	record PrefillDone(long attempt, int computedTokens) implements CellEvent {
 
 	}
 
 	/**
-	 * A prefill failed while its worker lives on.
+	 * A prefill failed, but its worker is still running.
 	 *
 	 * @param attempt the attempt, as given in {@link CellAction.StartPrefill}
 	 */
@@ -56,7 +56,8 @@
 	}
 
 	/**
-	 * A transfer failed, for instance because the KV cache was evicted before it began.
+	 * A transfer failed, for instance because the KV cache was evicted before the
+	 * transfer started.
 	 *
 	 * @param attempt the attempt, as given in {@link CellAction.StartPrefill}
 	 */
@@ -65,10 +66,10 @@
 	}
 
 	/**
-	 * The caller was sent tokens.
+	 * Tokens were sent to the caller.
 	 *
 	 * @param attempt the attempt, as given in {@link CellAction.StartPrefill}
-	 * @param count how many more tokens, at least 1
+	 * @param count the number of new tokens, at least 1
 	 */
 	record Tokens(long attempt, int count) implements CellEvent {
 
@@ -84,7 +85,7 @@
 	}
 
 	/**
-	 * A decode failed while its worker lives on.
+	 * A decode failed, but its worker is still running.
 	 *
 	 * @param attempt the attempt, as given in {@link CellAction.StartPrefill}
 	 */
@@ -93,32 +94,32 @@
 	}
 
 	/**
-	 * A decode step was timed; input of the cost fit.
+	 * The duration of a decode step was measured; used to fit the cost model.
 	 *
 	 * @param workerId the decode worker
-	 * @param batchSize requests in the batch
-	 * @param stepMs the length of the step in milliseconds
+	 * @param batchSize the number of requests in the batch
+	 * @param stepMs the duration of the step in milliseconds
 	 */
 	record StepObserved(String workerId, int batchSize, double stepMs) implements CellEvent {
 
 	}
 
 	/**
-	 * A worker reported its load, with a lag.
+	 * A worker reported its load. Reports arrive with a delay.
 	 *
 	 * @param workerId the worker
-	 * @param activeRequests the requests it holds
-	 * @param measuredAt when it counted them, in milliseconds
+	 * @param activeRequests the number of requests it holds
+	 * @param measuredAt when they were counted, in milliseconds
 	 */
 	record LoadReport(String workerId, int activeRequests, long measuredAt) implements CellEvent {
 
 	}
 
 	/**
-	 * A prefill worker published a cache event. Events come late and with gaps.
+	 * A prefill worker published a prefix cache event. Events may be delayed or lost.
 	 *
 	 * @param workerId the prefill worker
-	 * @param sequence rises by one with each event of the worker
+	 * @param sequence sequence number, incremented by one for each event of the worker
 	 * @param block the hash of the block
 	 * @param stored {@code true} if the block was stored, {@code false} if it was evicted
 	 */
@@ -127,7 +128,7 @@
 	}
 
 	/**
-	 * A worker joined or came back empty.
+	 * A worker joined, or restarted without state.
 	 *
 	 * @param worker the worker
 	 */
@@ -136,7 +137,7 @@
 	}
 
 	/**
-	 * A worker died; all work on it is gone.
+	 * A worker crashed; all work on it is lost.
 	 *
 	 * @param workerId the worker
 	 */
@@ -145,7 +146,7 @@
 	}
 
 	/**
-	 * A worker is leaving: it gets no new work and finishes what it has.
+	 * A worker is draining: it gets no new requests and finishes those it has.
 	 *
 	 * @param workerId the worker
 	 */
@@ -154,26 +155,27 @@
 	}
 
 	/**
-	 * Other contracts are in force.
+	 * The set of contracts changed.
 	 *
-	 * @param contracts all contracts
+	 * @param contracts all contracts in force
 	 */
 	record ContractsChanged(ContractSet contracts) implements CellEvent {
 
 	}
 
 	/**
-	 * This node became the owner of the cell. The former one may admit work until it has
-	 * heard of it.
+	 * This node became the owner of the cell. The former owner may keep admitting
+	 * requests until it learns of the change.
 	 *
-	 * @param exclusiveFrom when the former owner has surely stopped, in milliseconds
+	 * @param exclusiveFrom when the former owner has certainly stopped admitting, in
+	 * milliseconds
 	 */
 	record TakeoverStarted(long exclusiveFrom) implements CellEvent {
 
 	}
 
 	/**
-	 * The time that {@link CellScheduler#nextWake(long)} asked for has come.
+	 * The time returned by {@link CellScheduler#nextWake(long)} was reached.
 	 */
 	record Tick() implements CellEvent {
 
--- a/src/main/java/io/shallotspur/cell/CellFeature.java
+++ b/src/main/java/io/shallotspur/cell/CellFeature.java
@@ -4,58 +4,58 @@
 import java.util.Set;
 
 /**
- * Mechanisms of {@link StdCellScheduler} that can be switched off one by one, to measure
- * what each is worth. All are enabled by default, but where a constant says otherwise.
+ * Optional mechanisms of {@link StdCellScheduler}. Each can be disabled separately to
+ * measure its effect. All are enabled by default unless a constant says otherwise.
  */
 public enum CellFeature {
 
 	/**
-	 * A prefill starts only if a decode slot is expected to be free for it when it is
-	 * done. Enabled by default. If disabled, prefills start whenever a prefill worker is
-	 * idle.
+	 * A prefill starts only if a decode slot is expected to be free when it finishes.
+	 * Enabled by default. If disabled, prefills start whenever a prefill worker is idle.
 	 */
 	RESERVATION,
 
 	/**
-	 * The choice of the prefill worker counts the prompt blocks its cache holds. Enabled
-	 * by default. If disabled, the worker that is free first is taken.
+	 * The selection of the prefill worker takes cached prompt blocks into account.
+	 * Enabled by default. If disabled, the worker that becomes free first is used.
 	 */
 	PREFIX_SCORE,
 
 	/**
-	 * A request whose preamble is just being read waits for that prefill instead of
-	 * reading it a second time. Enabled by default. If disabled, only finished prefills
-	 * count as cached.
+	 * A request whose prefix is being prefilled on a worker waits for that prefill
+	 * instead of computing the prefix again. Enabled by default. If disabled, only
+	 * finished prefills count as cached.
 	 */
 	COALESCING,
 
 	/**
-	 * A request that can no longer meet its targets is refused at once. Enabled by
+	 * A request that can no longer meet its targets is refused immediately. Enabled by
 	 * default. If disabled, it waits until its deadline.
 	 */
 	EARLY_REFUSAL,
 
 	/**
-	 * Customers are served by weighted fair queueing on engine time. Enabled by default.
-	 * If disabled, requests of one priority start in the order of their due times.
+	 * Customers are scheduled by weighted fair queueing on engine time. Enabled by
+	 * default. If disabled, requests of equal priority start in the order of their due
+	 * times.
 	 */
 	FAIR_QUEUEING,
 
 	/**
-	 * A request that is late wherever it runs is run on an idle worker all the same, if
-	 * that brings a shared preamble into its cache. Enabled by default.
+	 * A request that would miss its targets on every worker still runs on an idle worker
+	 * if it brings a shared prefix into that worker's cache. Enabled by default.
 	 */
 	WARM_UP,
 
 	/**
-	 * A transfer that makes no progress is given up and sent to another decode worker.
-	 * Enabled by default.
+	 * A transfer that makes no progress is cancelled and restarted to another decode
+	 * worker. Enabled by default.
 	 */
 	STALL_DETECTION,
 
 	/**
-	 * Requests that ran on a crashed worker are kept apart from one another until the one
-	 * that crashes workers is known. Enabled by default.
+	 * Requests that were running on a crashed worker are placed on different workers
+	 * until the request that causes the crashes is identified. Enabled by default.
 	 */
 	CRASH_ISOLATION;
 
--- a/src/main/java/io/shallotspur/cell/CellFleet.java
+++ b/src/main/java/io/shallotspur/cell/CellFleet.java
@@ -13,19 +13,19 @@
 import io.shallotspur.routing.SharedBlocks;
 
 /**
- * The workers of a cell by role, in the order in which they came. Not thread-safe.
+ * The workers of a cell by role, in the order in which they joined. Not thread-safe.
  */
 final class CellFleet {
 
-	private static final int MAX_BLOCKS_SEEN = 32_768;
+	private static final int MAX_TRACKED_BLOCKS = 32_768;
 
 	private final CellSettings settings;
 
-	private final SharedBlocks shared = new SharedBlocks(MAX_BLOCKS_SEEN);
+	private final SharedBlocks sharedBlocks = new SharedBlocks(MAX_TRACKED_BLOCKS);
 
-	private final Map<String, PrefillWorker> prefill = new LinkedHashMap<>();
+	private final Map<String, PrefillWorker> prefillWorkers = new LinkedHashMap<>();
 
-	private final Map<String, DecodeWorker> decode = new LinkedHashMap<>();
+	private final Map<String, DecodeWorker> decodeWorkers = new LinkedHashMap<>();
 
 	private int slotLimit = Integer.MAX_VALUE;
 
@@ -35,76 +35,76 @@
 		this.settings = settings;
 	}
 
-	// Adds a worker that came up empty; it replaces what was known under its identifier.
+	// Adds a worker without state. It replaces any worker with the same identifier.
 	void add(Worker worker) {
 		if (worker.role() == WorkerRole.PREFILL) {
-			this.prefill.put(worker.id(),
-					new PrefillWorker(worker, this.settings.initialPrefillMsPerToken(), this.shared));
+			this.prefillWorkers.put(worker.id(),
+					new PrefillWorker(worker, this.settings.initialPrefillMsPerToken(), this.sharedBlocks));
 		}
 		else if (worker.role() == WorkerRole.DECODE) {
 			DecodeWorker d = new DecodeWorker(worker, this.settings.initialStepMs(),
 					this.settings.initialStepMsPerRequest());
 			d.setSlotLimit(this.slotLimit);
-			this.decode.put(worker.id(), d);
+			this.decodeWorkers.put(worker.id(), d);
 		}
 	}
 
-	// Limits the slots used of each decode worker until some time.
-	void limitSlots(int most, long until) {
-		this.slotLimit = most;
+	// Limits the slots that are used on each decode worker until the given time.
+	void limitSlots(int maxSlots, long until) {
+		this.slotLimit = maxSlots;
 		this.slotLimitUntil = until;
-		this.decode.values().forEach((d) -> d.setSlotLimit(most));
+		this.decodeWorkers.values().forEach((d) -> d.setSlotLimit(maxSlots));
 	}
 
-	void expireLimit(long now) {
+	void expireSlotLimit(long now) {
 		if (this.slotLimit != Integer.MAX_VALUE && now >= this.slotLimitUntil) {
 			limitSlots(Integer.MAX_VALUE, 0);
 		}
 	}
 
 	void remove(String id) {
-		this.prefill.remove(id);
-		this.decode.remove(id);
+		this.prefillWorkers.remove(id);
+		this.decodeWorkers.remove(id);
 	}
 
-	void leave(String id) {
-		PrefillWorker p = this.prefill.get(id);
+	void drain(String id) {
+		PrefillWorker p = this.prefillWorkers.get(id);
 		if (p != null) {
 			p.drain();
 		}
-		DecodeWorker d = this.decode.get(id);
+		DecodeWorker d = this.decodeWorkers.get(id);
 		if (d != null) {
 			d.drain();
 		}
 	}
 
-	// Notes a prompt, to learn which blocks are shared.
-	void prompt(long[] blocks) {
-		this.shared.recordPrompt(blocks);
+	// Records a prompt, to detect blocks that several prompts share.
+	void recordPrompt(long[] blocks) {
+		this.sharedBlocks.recordPrompt(blocks);
 	}
 
-	boolean knows(String id) {
-		return this.prefill.containsKey(id) || this.decode.containsKey(id);
+	boolean contains(String id) {
+		return this.prefillWorkers.containsKey(id) || this.decodeWorkers.containsKey(id);
 	}
 
-	@Nullable PrefillWorker prefill(String id) {
-		return this.prefill.get(id);
+	@Nullable PrefillWorker prefillWorker(String id) {
+		return this.prefillWorkers.get(id);
 	}
 
-	@Nullable DecodeWorker decode(String id) {
-		return this.decode.get(id);
+	@Nullable DecodeWorker decodeWorker(String id) {
+		return this.decodeWorkers.get(id);
 	}
 
-	Collection<PrefillWorker> prefill() {
-		return this.prefill.values();
+	Collection<PrefillWorker> prefillWorkers() {
+		return this.prefillWorkers.values();
 	}
 
-	Collection<DecodeWorker> decode() {
-		return this.decode.values();
+	Collection<DecodeWorker> decodeWorkers() {
+		return this.decodeWorkers.values();
 	}
 
-	boolean anyIdlePrefill() {
-		for (PrefillWorker p : this.prefill.values()) {
+	boolean hasIdlePrefillWorker() {
+		for (PrefillWorker p : this.prefillWorkers.values()) {
 			if (p.isIdle()) {
 				return true;
 			}
@@ -112,19 +112,19 @@
 		return false;
 	}
 
-	// Returns the declared slots of the decode workers that take new work.
-	int slots() {
-		int n = 0;
-		for (DecodeWorker d : this.decode.values()) {
-			n += d.isDraining() ? 0 : d.worker().slots();
+	// Returns the total declared slots of the decode workers that are not draining.
+	int declaredSlots() {
+		int total = 0;
+		for (DecodeWorker d : this.decodeWorkers.values()) {
+			total += d.isDraining() ? 0 : d.worker().slots();
 		}
-		return n;
+		return total;
 	}
 
-	// Returns whether both roles have a worker that takes new work.
-	boolean takesWork() {
-		return this.prefill.values().stream().anyMatch((p) -> !p.isDraining())
-				&& this.decode.values().stream().anyMatch((d) -> !d.isDraining());
+	// Returns whether each role has a worker that is not draining.
+	boolean acceptsWork() {
+		return this.prefillWorkers.values().stream().anyMatch((p) -> !p.isDraining())
+				&& this.decodeWorkers.values().stream().anyMatch((d) -> !d.isDraining());
 	}
 
 }
--- a/src/main/java/io/shallotspur/cell/CellSettings.java
+++ b/src/main/java/io/shallotspur/cell/CellSettings.java
@@ -4,31 +4,33 @@
 import java.util.Set;
 
 /**
- * Settings of {@link StdCellScheduler}. None is a speed or a limit of an engine: those
- * are learnt or declared by the worker. Immutable.
+ * Settings of {@link StdCellScheduler}. Speeds and limits of engines are not settings:
+ * they are measured at runtime or declared by the worker. Immutable.
  *
  * @param features the mechanisms that are enabled
- * @param initialPrefillMsPerToken prefill cost assumed until learnt, default 0.2 ms
- * @param initialStepMs decode step assumed until learnt, default 30 ms
- * @param initialStepMsPerRequest growth of the step per request assumed until learnt,
- * default 0.5 ms
- * @param initialOutputTokens answer length assumed until learnt, default 200
- * @param queueLimit the most requests that wait in the cell, default 1024
- * @param lookahead the most waiting requests that one decision looks at, default 64
- * @param kvExpiryMarginMs a transfer is begun at least so long before the KV cache would be
- * evicted, default 50 ms
- * @param minStallMarginMs the least patience with a transfer beyond its prediction, default
- * 60 ms
- * @param retryRatio retries earned per first try, default 0.1
- * @param minRetries retries a customer may have in ten seconds however few first tries
- * it had, default 24: the requests of one decode worker
- * @param maxAttempts the most tries of one request, default 4
- * @param slotConfidence standard deviations of doubt that a reservation allows for,
- * default 1
- * @param suspectClearTokens a suspect of one crash that generates so many tokens without
- * another is not kept apart any more, default 16
- * @param takeoverSlots the slots per decode worker that a new owner uses until the leave
- * of the old one is known, default 4
+ * @param initialPrefillMsPerToken prefill cost assumed until measured, default 0.2 ms
+ * @param initialStepMs duration of a decode step assumed until measured, default 30 ms
+ * @param initialStepMsPerRequest increase of the step duration per request in the batch
+ * assumed until measured, default 0.5 ms
+ * @param initialOutputTokens answer length in tokens assumed until measured, default 200
+ * @param queueLimit maximum number of queued requests in the cell, default 1024
+ * @param lookahead maximum number of queued requests that one scheduling decision
+ * examines, default 64
+ * @param kvExpiryMarginMs a KV cache counts as expired this long before its worker evicts
+ * it, default 50 ms
+ * @param minStallMarginMs minimum time by which a transfer must exceed its predicted
+ * duration to count as stalled, default 60 ms
+ * @param retryRatio retries allowed per first attempt, default 0.1
+ * @param minRetries retries that a customer is always allowed in ten seconds, regardless
+ * of its number of first attempts; default 24, the number of requests on one decode
+ * worker
+ * @param maxAttempts maximum number of attempts per request, default 4
+ * @param slotConfidence number of standard deviations that the forecast of free slots
+ * subtracts from the expected value, default 1
+ * @param suspectClearTokens number of tokens after which a suspect of a single crash is
+ * cleared if no further crash occurs, default 16
+ * @param takeoverSlots slots per decode worker that a new owner uses until the former
+ * owner is known to have stopped, default 4
  */
 public record CellSettings(Set<CellFeature> features, double initialPrefillMsPerToken, double initialStepMs,
 		double initialStepMsPerRequest, int initialOutputTokens, int queueLimit, int lookahead, long kvExpiryMarginMs,
@@ -40,7 +42,7 @@
 	}
 
 	/**
-	 * Returns the documented defaults.
+	 * Returns the default settings.
 	 * @return the settings
 	 */
 	public static CellSettings defaults() {
@@ -48,19 +50,19 @@
 	}
 
 	/**
-	 * Returns the same settings with other features.
+	 * Returns a copy with other features.
 	 * @param features the mechanisms that are enabled
 	 * @return new settings
 	 */
 	public CellSettings withFeatures(Set<CellFeature> features) {
-		return new CellSettings(features, this.initialPrefillMsPerToken, this.initialStepMs, this.initialStepMsPerRequest,
-				this.initialOutputTokens, this.queueLimit, this.lookahead, this.kvExpiryMarginMs, this.minStallMarginMs,
-				this.retryRatio, this.minRetries, this.maxAttempts, this.slotConfidence, this.suspectClearTokens,
-				this.takeoverSlots);
+		return new CellSettings(features, this.initialPrefillMsPerToken, this.initialStepMs,
+				this.initialStepMsPerRequest, this.initialOutputTokens, this.queueLimit, this.lookahead,
+				this.kvExpiryMarginMs, this.minStallMarginMs, this.retryRatio, this.minRetries, this.maxAttempts,
+				this.slotConfidence, this.suspectClearTokens, this.takeoverSlots);
 	}
 
 	/**
-	 * Returns the same settings with one feature switched off.
+	 * Returns a copy with one feature disabled.
 	 * @param feature the mechanism to disable
 	 * @return new settings
 	 */
--- a/src/main/java/io/shallotspur/cell/Job.java
+++ b/src/main/java/io/shallotspur/cell/Job.java
@@ -8,66 +8,68 @@
 import io.shallotspur.routing.PrefillWorker;
 
 /**
- * A request in the cell with all that is held for it. Not thread-safe.
+ * The scheduling state of a request and the resources it holds. Not thread-safe.
  * <p>
- * Invariants: a prefill worker is named from the start of a prefill until its KV cache is
- * released; a decode worker is named while a slot of it is reserved or held.
+ * Invariants: {@code prefillWorker} is set from the start of a prefill until its KV cache
+ * is released; {@code decodeWorker} is set while a slot on that worker is reserved or
+ * held.
  */
 final class Job implements FairQueue.Item {
 
 	/**
-	 * The part of answers that may be shorter than what a refusal counts on.
+	 * Quantile of the remaining answer length that is assumed when a resumed request is
+	 * checked against its deadline: 10% of answers are shorter.
 	 */
-	private static final double SHORT_PART = 0.1;
+	private static final double SHORT_ANSWER_QUANTILE = 0.1;
 
 	final ModelRequest request;
 
 	private final String flow;
 
-	final OutputLengthSample lengths;
+	final OutputLengthSample outputLengths;
 
 	final long sequence;
 
-	Stage stage = Stage.QUEUED;
+	JobStage stage = JobStage.QUEUED;
 
-	long attempt;
+	long attemptId;
 
-	int tries;
+	int attemptCount;
 
-	int generated;
+	int generatedTokens;
 
-	boolean everDecoded;
+	boolean decodeStarted;
 
 	boolean suspect;
 
-	double charged;
+	double chargedEngineMs;
 
-	long stageSince;
+	long stageEnteredAt;
 
-	long kvUntil;
+	long kvUsableUntil;
 
-	double transferMs;
+	double predictedTransferMs;
 
-	double expectedMs;
+	double predictedPrefillMs;
 
 	long notBefore;
 
-	int decodedHere;
+	int attemptTokens;
 
-	int crashes;
+	int crashCount;
 
-	int provenAfter;
+	int clearAfterTokens;
 
-	boolean prefillLost;
+	boolean prefillWorkerLost;
 
-	@Nullable PrefillWorker prefill;
+	@Nullable PrefillWorker prefillWorker;
 
-	@Nullable DecodeWorker decode;
+	@Nullable DecodeWorker decodeWorker;
 
 	Job(ModelRequest request, String flow, OutputLengthSample lengths, long sequence) {
 		this.request = request;
 		this.flow = flow;
-		this.lengths = lengths;
+		this.outputLengths = lengths;
 		this.sequence = sequence;
 	}
 
@@ -95,37 +97,38 @@
 		return this.request.customer();
 	}
 
-	// Returns the tokens to read: the prompt and what was generated before a failure.
+	// Returns the tokens to prefill: the prompt and the tokens generated before a
+	// failure.
 	int promptTokens() {
-		return this.request.promptTokens() + this.generated;
+		return this.request.promptTokens() + this.generatedTokens;
 	}
 
-	// Returns the tokens still expected.
-	double remainingTokens() {
-		double left = this.lengths.expectedRemaining(this.generated);
+	// Returns the expected number of tokens still to be generated.
+	double expectedRemainingTokens() {
+		double remaining = this.outputLengths.expectedRemaining(this.generatedTokens);
 		int max = this.request.maxOutputTokens();
-		return (max > 0) ? Math.min(left, Math.max(1, max - this.generated)) : left;
+		return (max > 0) ? Math.min(remaining, Math.max(1, max - this.generatedTokens)) : remaining;
 	}
 
-	// Returns when the next first token has to be there. A caller that already has
-	// tokens waits for the rest until the deadline. Only the shortest rest that is
-	// likely counts: a caller who reads an answer would lose it to a mere expectation
-	// otherwise.
-	long firstTokenBy(double stepMs, boolean useTarget) {
-		if (this.generated > 0) {
-			double rest = this.lengths.remainingQuantile(this.generated, SHORT_PART);
-			return this.request.deadlineAt() - (long) (rest * stepMs);
+	// Returns the deadline for the first token of the next attempt. If the caller already
+	// has tokens, the rest must complete by the request's deadline. A low quantile of the
+	// remaining length is used, because the expected length would abort answers that may
+	// still complete in time.
+	long firstTokenDeadline(double stepMs, boolean useTtftTarget) {
+		if (this.generatedTokens > 0) {
+			double remaining = this.outputLengths.remainingQuantile(this.generatedTokens, SHORT_ANSWER_QUANTILE);
+			return this.request.deadlineAt() - (long) (remaining * stepMs);
 		}
-		return useTarget ? dueAt() : this.request.deadlineAt();
+		return useTtftTarget ? dueAt() : this.request.deadlineAt();
 	}
 
-	// Returns whether a failure may be followed by another try.
-	boolean mayRunAgain() {
-		return this.request.repeatable() || !this.everDecoded;
+	// Returns whether the request may be retried after a failure.
+	boolean isRetryable() {
+		return this.request.repeatable() || !this.decodeStarted;
 	}
 
-	boolean inFlight() {
-		return this.stage != Stage.QUEUED && this.stage != Stage.ENDED;
+	boolean isInFlight() {
+		return this.stage != JobStage.QUEUED && this.stage != JobStage.ENDED;
 	}
 
 }
--- a/src/main/java/io/shallotspur/cell/JobTable.java
+++ b/src/main/java/io/shallotspur/cell/JobTable.java
@@ -12,100 +12,103 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The requests of a cell by identifier, and those in flight by attempt. Not thread-safe.
+ * The requests of a cell indexed by identifier, and those in flight indexed by attempt.
+ * Not thread-safe.
  */
 final class JobTable {
 
-	private final Map<String, Job> byId = new HashMap<>();
+	private final Map<String, Job> jobsById = new HashMap<>();
 
-	private final Map<Long, Job> byAttempt = new LinkedHashMap<>();
+	private final Map<Long, Job> jobsByAttempt = new LinkedHashMap<>();
 
-	private final TreeMap<Long, Job> kvReady = new TreeMap<>();
+	private final TreeMap<Long, Job> kvReadyJobs = new TreeMap<>();
 
-	private final TreeMap<Long, Integer> gapTargets = new TreeMap<>();
+	private final TreeMap<Long, Integer> tbtTargetCounts = new TreeMap<>();
 
-	private long sequence;
+	private long lastSequence;
 
-	private long attempt;
+	private long lastAttemptId;
 
 	long nextSequence() {
-		return ++this.sequence;
+		return ++this.lastSequence;
 	}
 
 	void add(Job job) {
-		this.byId.put(job.request.id(), job);
+		this.jobsById.put(job.request.id(), job);
 	}
 
 	void remove(Job job) {
-		this.byId.remove(job.request.id(), job);
+		this.jobsById.remove(job.request.id(), job);
 	}
 
-	@Nullable Job byId(String id) {
-		return this.byId.get(id);
+	@Nullable Job findById(String id) {
+		return this.jobsById.get(id);
 	}
 
-	// Returns the request of an attempt that has not been given up, or {@code null}.
-	@Nullable Job byAttempt(long attempt, Stage stage) {
-		Job j = this.byAttempt.get(attempt);
+	// Returns the request of a current attempt, or {@code null} if the attempt ended or
+	// is in another stage.
+	@Nullable Job findByAttempt(long attemptId, JobStage stage) {
+		Job j = this.jobsByAttempt.get(attemptId);
 		return (j != null && j.stage == stage) ? j : null;
 	}
 
 	void beginAttempt(Job job) {
-		job.attempt = ++this.attempt;
-		this.byAttempt.put(job.attempt, job);
-		this.gapTargets.merge(job.request.tbtMs(), 1, Integer::sum);
+		job.attemptId = ++this.lastAttemptId;
+		this.jobsByAttempt.put(job.attemptId, job);
+		this.tbtTargetCounts.merge(job.request.tbtMs(), 1, Integer::sum);
 	}
 
 	/**
-	 * Moves an attempt to another stage. Those whose KV cache waits are kept apart: they
-	 * are asked for at every event, and a walk over all requests in flight would cost
-	 * more than the decisions.
+	 * Sets the stage of a request. Requests with a KV cache ready for transfer are
+	 * indexed separately: they are looked up at every event, and a scan of all requests
+	 * in flight would cost more than the scheduling decisions.
 	 * @param job the request
 	 * @param stage its new stage
 	 */
-	void enter(Job job, Stage stage) {
+	void setStage(Job job, JobStage stage) {
 		job.stage = stage;
-		if (stage == Stage.KV_READY) {
-			this.kvReady.put(job.attempt, job);
+		if (stage == JobStage.KV_READY) {
+			this.kvReadyJobs.put(job.attemptId, job);
 		}
 		else {
-			this.kvReady.remove(job.attempt, job);
+			this.kvReadyJobs.remove(job.attemptId, job);
 		}
 	}
 
-	List<Job> kvReady() {
-		return List.copyOf(this.kvReady.values());
+	List<Job> kvReadyJobs() {
+		return List.copyOf(this.kvReadyJobs.values());
 	}
 
 	void endAttempt(Job job) {
-		this.kvReady.remove(job.attempt, job);
-		if (this.byAttempt.remove(job.attempt) != null) {
-			this.gapTargets.computeIfPresent(job.request.tbtMs(), (k, n) -> (n > 1) ? n - 1 : null);
+		this.kvReadyJobs.remove(job.attemptId, job);
+		if (this.jobsByAttempt.remove(job.attemptId) != null) {
+			this.tbtTargetCounts.computeIfPresent(job.request.tbtMs(), (k, n) -> (n > 1) ? n - 1 : null);
 		}
 	}
 
-	// Returns the tightest target for the gap between tokens of all in flight.
-	double tightestGapMs() {
-		Long least = this.gapTargets.ceilingKey(1L);
-		return (least != null) ? least : Double.MAX_VALUE;
+	// Returns the smallest TBT target of the requests in flight in milliseconds, or
+	// Double.MAX_VALUE if none has a target.
+	double minTbtTargetMs() {
+		Long minTarget = this.tbtTargetCounts.ceilingKey(1L);
+		return (minTarget != null) ? minTarget : Double.MAX_VALUE;
 	}
 
-	Collection<Job> inFlight() {
-		return this.byAttempt.values();
+	Collection<Job> inFlightJobs() {
+		return this.jobsByAttempt.values();
 	}
 
-	List<Job> inFlight(Predicate<Job> filter) {
-		List<Job> l = new ArrayList<>();
-		for (Job j : this.byAttempt.values()) {
+	List<Job> inFlightJobs(Predicate<Job> filter) {
+		List<Job> matching = new ArrayList<>();
+		for (Job j : this.jobsByAttempt.values()) {
 			if (filter.test(j)) {
-				l.add(j);
+				matching.add(j);
 			}
 		}
-		return l;
+		return matching;
 	}
 
 	int size() {
-		return this.byId.size();
+		return this.jobsById.size();
 	}
 
 }
--- a/src/main/java/io/shallotspur/cell/Placement.java
+++ b/src/main/java/io/shallotspur/cell/Placement.java
@@ -4,14 +4,16 @@
 import io.shallotspur.routing.PrefillWorker;
 
 /**
- * The best way found to run a request's prefill. Immutable.
+ * The workers selected for a request, with the expected times of its prefill. Immutable.
  *
- * @param worker the prefill worker
- * @param decode the decode worker on which a slot is reserved
- * @param startAt when it can start, in milliseconds
- * @param prefillMs how long the prefill is expected to take
- * @param readyAt when the KV cache is expected at a decode worker, in milliseconds
+ * @param prefillWorker the prefill worker
+ * @param decodeWorker the decode worker on which a slot is reserved
+ * @param startAt when the prefill can start, in milliseconds
+ * @param prefillMs expected duration of the prefill, in milliseconds
+ * @param readyAt when the transfer of the KV cache to the decode worker is expected to
+ * end, in milliseconds
  */
-record Placement(PrefillWorker worker, DecodeWorker decode, double startAt, double prefillMs, double readyAt) {
+record Placement(PrefillWorker prefillWorker, DecodeWorker decodeWorker, double startAt, double prefillMs,
+		double readyAt) {
 
 }
--- a/src/main/java/io/shallotspur/cell/StdCellScheduler.java
+++ b/src/main/java/io/shallotspur/cell/StdCellScheduler.java
@@ -14,17 +14,17 @@
 import io.shallotspur.routing.OutputLengthSamples;
 
 /**
- * The scheduler of a cell. A prefill starts only when a decode slot is expected to be
- * free for it, on the worker where it is done first; what cannot meet its targets any
- * more is refused as not run.
+ * The default scheduler of a cell. A prefill starts only when a decode slot is expected
+ * to be free for it, on the worker where it finishes first. Requests that can no longer
+ * meet their targets are refused without being run.
  * <p>
- * Not thread-safe: events come one at a time, in order of {@code now}. Invariants: those
- * of {@link CellScheduler}; the slots reserved and held at each decode worker are those
- * of the requests in flight.
+ * Not thread-safe: events are delivered one at a time, in order of {@code now}.
+ * Invariants: those of {@link CellScheduler}; the slots reserved and held on each decode
+ * worker are exactly those of the requests in flight.
  */
 public final class StdCellScheduler implements CellScheduler {
 
-	private static final double UNKNOWN_SHARE = 0.01;
+	private static final double UNKNOWN_CUSTOMER_SHARE = 0.01;
 
 	private final CellSettings settings;
 
@@ -32,21 +32,21 @@
 
 	private final JobTable jobs = new JobTable();
 
-	private final TimerQueue<Job> timers = new TimerQueue<>((j) -> j.stage == Stage.ENDED);
+	private final TimerQueue<Job> timers = new TimerQueue<>((j) -> j.stage == JobStage.ENDED);
 
 	private final FairQueue<Job> queue;
 
-	private final JobFlow flow;
+	private final JobLifecycle lifecycle;
 
-	private final OutputLengthSamples lengths;
+	private final OutputLengthSamples outputLengths;
 
-	private final CrashSuspects crashes;
+	private final CrashSuspects crashSuspects;
 
-	private final CellObserver observer;
+	private final CellReportHandler reportHandler;
 
-	private final CellSuspects suspects;
+	private final CrashIsolation crashIsolation;
 
-	private final CellDispatch dispatch;
+	private final CellDispatcher dispatcher;
 
 	private ContractSet contracts;
 
@@ -55,10 +55,10 @@
 	private long recheckAt = Long.MAX_VALUE;
 
 	/**
-	 * Creates a scheduler without workers, with a table of crash suspects of its own.
+	 * Creates a scheduler without workers, with its own table of crash suspects.
 	 * @param settings the settings
 	 * @param contracts the contracts in force
-	 * @param seed the seed of its randomness
+	 * @param seed the seed of the random number generator
 	 */
 	public StdCellScheduler(CellSettings settings, ContractSet contracts, long seed) {
 		this(settings, contracts, seed, new CrashSuspects());
@@ -68,35 +68,36 @@
 	 * Creates a scheduler without workers.
 	 * @param settings the settings
 	 * @param contracts the contracts in force
-	 * @param seed the seed of its randomness
-	 * @param crashes finds the requests that crash workers; shared by the cells of a node
+	 * @param seed the seed of the random number generator
+	 * @param crashSuspects identifies the requests that crash workers; shared by the
+	 * cells of a node
 	 */
-	public StdCellScheduler(CellSettings settings, ContractSet contracts, long seed, CrashSuspects crashes) {
+	public StdCellScheduler(CellSettings settings, ContractSet contracts, long seed, CrashSuspects crashSuspects) {
 		this.settings = settings;
 		this.contracts = contracts;
-		this.crashes = crashes;
+		this.crashSuspects = crashSuspects;
 		this.fleet = new CellFleet(settings);
-		this.queue = new FairQueue<>(this::share);
-		this.lengths = new OutputLengthSamples(settings.initialOutputTokens());
-		this.flow = new JobFlow(settings, this.jobs, this.queue, this.timers, seed);
-		this.observer = new CellObserver(this.fleet, this.jobs, this.flow, crashes);
-		this.suspects = new CellSuspects(settings, crashes, this.flow);
-		this.dispatch = new CellDispatch(settings, this.fleet, this.jobs, this.queue, this.flow);
+		this.queue = new FairQueue<>(this::weightOf);
+		this.outputLengths = new OutputLengthSamples(settings.initialOutputTokens());
+		this.lifecycle = new JobLifecycle(settings, this.jobs, this.queue, this.timers, seed);
+		this.reportHandler = new CellReportHandler(this.fleet, this.jobs, this.lifecycle, crashSuspects);
+		this.crashIsolation = new CrashIsolation(settings, crashSuspects, this.lifecycle);
+		this.dispatcher = new CellDispatcher(settings, this.fleet, this.jobs, this.queue, this.lifecycle);
 	}
 
 	@Override
 	public void handle(CellEvent event, long now, Consumer<CellAction> out) {
-		this.flow.emitTo(out);
-		if (this.observer.take(event, now)) {
+		this.lifecycle.setActionSink(out);
+		if (this.reportHandler.handle(event, now)) {
 			return;
 		}
-		if (!onRequest(event, now) && !onAttempt(event, now)) {
-			onFleet(event, now);
+		if (!handleRequestEvent(event, now) && !handleAttemptEvent(event, now)) {
+			handleFleetEvent(event, now);
 		}
-		this.fleet.expireLimit(now);
+		this.fleet.expireSlotLimit(now);
 		runTimers(now);
 		startTransfers(now);
-		this.recheckAt = this.dispatch.run(now);
+		this.recheckAt = this.dispatcher.dispatch(now);
 	}
 
 	@Override
@@ -105,7 +106,7 @@
 	}
 
 	/**
-	 * Returns how many requests the cell holds, waiting and in flight.
+	 * Returns the number of requests in the cell, queued and in flight.
 	 * @return the number of requests
 	 */
 	public int activeRequestCount() {
@@ -113,42 +114,44 @@
 	}
 
 	/**
-	 * Sets the factor by which a customer's share counts in this cell, for a customer
-	 * that several cells serve. It is asked whenever the customer is charged.
-	 * @param factor gives a number over 0 and at most 1 for a customer
+	 * Sets the factor by which a customer's share is multiplied in this cell, for
+	 * customers that several cells serve. The function is called whenever a customer is
+	 * charged.
+	 * @param factor returns a number greater than 0 and at most 1 for a customer
 	 */
 	public void setShareFactor(ToDoubleFunction<String> factor) {
 		this.shareFactor = factor;
 	}
 
 	/**
-	 * Bounds what this cell admits, because its former owner may still admit work too.
-	 * While both do, each decode worker is sent at most
-	 * {@link CellSettings#takeoverSlots} requests by this owner, and each prefill worker
-	 * one prompt, beyond what the former owner sends; what load reports show of the
-	 * former owner's work is kept free besides.
-	 * @param until when the former owner has surely stopped, in milliseconds
+	 * Limits admission to this cell while its former owner may still admit requests.
+	 * Until then this owner sends at most {@link CellSettings#takeoverSlots} requests to
+	 * each decode worker, and one prompt at a time to each prefill worker, in addition to
+	 * those of the former owner. Slots that load reports attribute to the former owner
+	 * are also kept free.
+	 * @param exclusiveFrom when the former owner has certainly stopped admitting, in
+	 * milliseconds
 	 */
-	public void beginTakeover(long until) {
-		this.fleet.limitSlots(this.settings.takeoverSlots(), until);
+	public void beginTakeover(long exclusiveFrom) {
+		this.fleet.limitSlots(this.settings.takeoverSlots(), exclusiveFrom);
 	}
 
 	/**
-	 * Lifts the bound of {@link #beginTakeover}, because the former owner is known to
-	 * have left.
+	 * Removes the limit of {@link #beginTakeover} once the former owner is known to have
+	 * stopped.
 	 */
 	public void endTakeover() {
 		this.fleet.limitSlots(Integer.MAX_VALUE, 0);
 	}
 
-	private boolean onRequest(CellEvent event, long now) {
+	private boolean handleRequestEvent(CellEvent event, long now) {
 		if (event instanceof CellEvent.Submit e) {
 			submit(e.request(), now);
 		}
 		else if (event instanceof CellEvent.CallerGone e) {
-			Job j = this.jobs.byId(e.requestId());
+			Job j = this.jobs.findById(e.requestId());
 			if (j != null) {
-				this.flow.abandon(j, now);
+				this.lifecycle.abort(j, now);
 			}
 		}
 		else {
@@ -157,44 +160,48 @@
 		return true;
 	}
 
-	private void submit(ModelRequest r, long now) {
-		Job j = new Job(r, this.settings.isEnabled(CellFeature.FAIR_QUEUEING) ? r.customer() : "",
-				this.lengths.sampleFor(r.customer(), r.className()), this.jobs.nextSequence());
-		this.suspects.mark(j, now);
-		if (this.crashes.isQuarantined(r.fingerprint(), now)) {
-			this.flow.refuse(j, RefusalCode.QUARANTINED, "The request crashed workers before.", 0, now);
+	private void submit(ModelRequest request, long now) {
+		Job j = new Job(request, this.settings.isEnabled(CellFeature.FAIR_QUEUEING) ? request.customer() : "",
+				this.outputLengths.sampleFor(request.customer(), request.className()), this.jobs.nextSequence());
+		this.crashIsolation.updateSuspicion(j, now);
+		if (this.crashSuspects.isQuarantined(request.fingerprint(), now)) {
+			this.lifecycle.refuse(j, RefusalCode.QUARANTINED, "The request is quarantined because it crashed workers.",
+					0, now);
 		}
-		else if (!this.fleet.takesWork()) {
-			this.flow.refuse(j, RefusalCode.NO_WORKER, "No worker takes new work.", 1000, now);
+		else if (!this.fleet.acceptsWork()) {
+			this.lifecycle.refuse(j, RefusalCode.NO_WORKER,
+					"No prefill worker or no decode worker accepts new requests.", 1000, now);
 		}
 		else if (this.queue.size() >= this.settings.queueLimit()) {
-			this.flow.refuse(j, RefusalCode.QUEUE_FULL, "The queue is full.", 1000, now);
+			this.lifecycle.refuse(j, RefusalCode.QUEUE_FULL, "The request queue of the cell is full.", 1000, now);
 		}
 		else {
-			this.fleet.prompt(r.prefixBlocks());
-			this.flow.submit(j, now);
-			checkFeasible(j, now);
+			this.fleet.recordPrompt(request.prefixBlocks());
+			this.lifecycle.submit(j, now);
+			checkFeasibility(j, now);
 		}
 	}
 
-	private boolean onAttempt(CellEvent event, long now) {
+	private boolean handleAttemptEvent(CellEvent event, long now) {
 		if (event instanceof CellEvent.PrefillDone e) {
-			with(e.attempt(), Stage.PREFILLING, (j) -> this.flow.prefillDone(j, e.computedTokens(), now));
+			withAttempt(e.attempt(), JobStage.PREFILLING,
+					(j) -> this.lifecycle.onPrefillDone(j, e.computedTokens(), now));
 		}
 		else if (event instanceof CellEvent.PrefillFailed e) {
-			with(e.attempt(), Stage.PREFILLING, (j) -> this.flow.retry(j, RefusalCode.WORKER_LOST, now));
+			withAttempt(e.attempt(), JobStage.PREFILLING, (j) -> this.lifecycle.retry(j, RefusalCode.WORKER_LOST, now));
 		}
 		else if (event instanceof CellEvent.TransferDone e) {
-			with(e.attempt(), Stage.TRANSFERRING, (j) -> this.flow.startDecode(j, now));
+			withAttempt(e.attempt(), JobStage.TRANSFERRING, (j) -> this.lifecycle.startDecode(j, now));
 		}
 		else if (event instanceof CellEvent.TransferFailed e) {
-			with(e.attempt(), Stage.TRANSFERRING, (j) -> this.flow.retry(j, RefusalCode.WORKER_LOST, now));
+			withAttempt(e.attempt(), JobStage.TRANSFERRING,
+					(j) -> this.lifecycle.retry(j, RefusalCode.WORKER_LOST, now));
 		}
 		else if (event instanceof CellEvent.DecodeDone e) {
-			with(e.attempt(), Stage.DECODING, (j) -> decodeDone(j, now));
+			withAttempt(e.attempt(), JobStage.DECODING, (j) -> onDecodeDone(j, now));
 		}
 		else if (event instanceof CellEvent.DecodeFailed e) {
-			with(e.attempt(), Stage.DECODING, (j) -> this.flow.retry(j, RefusalCode.WORKER_LOST, now));
+			withAttempt(e.attempt(), JobStage.DECODING, (j) -> this.lifecycle.retry(j, RefusalCode.WORKER_LOST, now));
 		}
 		else {
 			return false;
@@ -202,32 +209,32 @@
 		return true;
 	}
 
-	private void with(long attempt, Stage stage, Consumer<Job> step) {
-		// A late answer of an attempt that was given up finds no request and is dropped.
-		Job j = this.jobs.byAttempt(attempt, stage);
+	private void withAttempt(long attemptId, JobStage stage, Consumer<Job> step) {
+		// Late events of an attempt that was cancelled match no request and are ignored.
+		Job j = this.jobs.findByAttempt(attemptId, stage);
 		if (j != null) {
 			step.accept(j);
 		}
 	}
 
-	private void decodeDone(Job j, long now) {
-		this.lengths.observe(j.customer(), j.request.className(), j.generated);
-		this.crashes.recordCompletion(j.request.fingerprint(), now);
-		this.flow.complete(j, now);
+	private void onDecodeDone(Job j, long now) {
+		this.outputLengths.observe(j.customer(), j.request.className(), j.generatedTokens);
+		this.crashSuspects.recordCompletion(j.request.fingerprint(), now);
+		this.lifecycle.complete(j, now);
 	}
 
-	private void onFleet(CellEvent event, long now) {
+	private void handleFleetEvent(CellEvent event, long now) {
 		if (event instanceof CellEvent.WorkerUp e) {
-			if (this.fleet.knows(e.worker().id())) {
-				workerDown(e.worker().id(), now);
+			if (this.fleet.contains(e.worker().id())) {
+				removeWorker(e.worker().id(), now);
 			}
 			this.fleet.add(e.worker());
 		}
 		else if (event instanceof CellEvent.WorkerDown e) {
-			workerDown(e.workerId(), now);
+			removeWorker(e.workerId(), now);
 		}
 		else if (event instanceof CellEvent.WorkerLeaving e) {
-			this.fleet.leave(e.workerId());
+			this.fleet.drain(e.workerId());
 		}
 		else if (event instanceof CellEvent.TakeoverStarted e) {
 			beginTakeover(e.exclusiveFrom());
@@ -237,36 +244,38 @@
 		}
 	}
 
-	private void workerDown(String id, long now) {
-		List<Job> reading = this.jobs.inFlight((j) -> j.prefill != null && j.prefill.id().equals(id));
-		List<Job> onDecode = this.jobs.inFlight((j) -> j.decode != null && j.decode.id().equals(id));
+	private void removeWorker(String id, long now) {
+		List<Job> prefillJobs = this.jobs
+			.inFlightJobs((j) -> j.prefillWorker != null && j.prefillWorker.id().equals(id));
+		List<Job> decodeJobs = this.jobs.inFlightJobs((j) -> j.decodeWorker != null && j.decodeWorker.id().equals(id));
 		this.fleet.remove(id);
-		this.suspects.crashed(id, onDecode, now);
-		for (Job j : reading) {
-			this.flow.lostPrefill(j);
-			this.flow.retry(j, RefusalCode.WORKER_LOST, now);
-		}
-		for (Job j : onDecode) {
-			if (j.stage == Stage.DECODING) {
-				lostDecode(j, now);
+		this.crashIsolation.recordCrash(id, decodeJobs, now);
+		for (Job j : prefillJobs) {
+			this.lifecycle.markPrefillWorkerLost(j);
+			this.lifecycle.retry(j, RefusalCode.WORKER_LOST, now);
+		}
+		for (Job j : decodeJobs) {
+			if (j.stage == JobStage.DECODING) {
+				onDecodeLost(j, now);
 			}
-			else if (j.stage == Stage.TRANSFERRING) {
-				this.flow.transferAgain(j, now);
+			else if (j.stage == JobStage.TRANSFERRING) {
+				this.lifecycle.abortTransfer(j, now);
 			}
-			else if (j.inFlight()) {
-				this.flow.lostDecode(j, now);
+			else if (j.isInFlight()) {
+				this.lifecycle.releaseDecodeWorker(j, now);
 			}
 		}
 	}
 
-	private void lostDecode(Job j, long now) {
-		this.flow.lostDecode(j, now);
-		if (this.crashes.isQuarantined(j.request.fingerprint(), now)) {
-			this.flow.refuse(j, RefusalCode.QUARANTINED, "The request crashes the workers that run it.", 0, now);
+	private void onDecodeLost(Job j, long now) {
+		this.lifecycle.releaseDecodeWorker(j, now);
+		if (this.crashSuspects.isQuarantined(j.request.fingerprint(), now)) {
+			this.lifecycle.refuse(j, RefusalCode.QUARANTINED,
+					"The request was quarantined after repeated worker crashes.", 0, now);
 		}
 		else {
-			this.suspects.mark(j, now);
-			this.flow.retry(j, RefusalCode.WORKER_LOST, now);
+			this.crashIsolation.updateSuspicion(j, now);
+			this.lifecycle.retry(j, RefusalCode.WORKER_LOST, now);
 		}
 	}
 
@@ -279,59 +288,59 @@
 	}
 
 	private void onTimer(Job j, long now) {
-		DecodeWorker d = j.decode;
+		DecodeWorker d = j.decodeWorker;
 		if (now >= j.request.deadlineAt()) {
-			this.flow.refuse(j, RefusalCode.DEADLINE_PASSED, "The deadline has passed.", 0, now);
+			this.lifecycle.refuse(j, RefusalCode.DEADLINE_PASSED, "The deadline of the request has passed.", 0, now);
 		}
-		else if (j.stage == Stage.QUEUED) {
-			checkFeasible(j, now);
+		else if (j.stage == JobStage.QUEUED) {
+			checkFeasibility(j, now);
 		}
-		else if (j.stage == Stage.KV_READY && now >= j.kvUntil) {
-			this.flow.retry(j, RefusalCode.DEADLINE_INFEASIBLE, now);
+		else if (j.stage == JobStage.KV_READY && now >= j.kvUsableUntil) {
+			this.lifecycle.retry(j, RefusalCode.DEADLINE_INFEASIBLE, now);
 		}
-		else if (j.stage == Stage.TRANSFERRING && d != null) {
-			if (now >= this.flow.stallAt(d)) {
+		else if (j.stage == JobStage.TRANSFERRING && d != null) {
+			if (now >= this.lifecycle.stallDeadline(d)) {
 				d.recordStall(now);
-				this.flow.transferAgain(j, now);
+				this.lifecycle.abortTransfer(j, now);
 			}
 			else {
-				this.timers.add(j, this.flow.stallAt(d));
+				this.timers.add(j, this.lifecycle.stallDeadline(d));
 			}
 		}
 	}
 
-	private void checkFeasible(Job j, long now) {
+	private void checkFeasibility(Job j, long now) {
 		if (!this.settings.isEnabled(CellFeature.EARLY_REFUSAL)) {
 			return;
 		}
-		Placer p = new Placer(this.fleet, this.settings, 0, now);
-		double latest = this.dispatch.firstTokenBy(j) - p.leastMs(j);
-		if (now <= latest) {
-			this.timers.add(j, (long) latest + 1);
+		PlacementSelector selector = new PlacementSelector(this.fleet, this.settings, 0, now);
+		double latestStart = this.dispatcher.firstTokenDeadline(j) - selector.minTimeToFirstTokenMs(j);
+		if (now <= latestStart) {
+			this.timers.add(j, (long) latestStart + 1);
 			return;
 		}
-		Placement late = this.dispatch.placeLate(j, p);
-		if (late != null && this.dispatch.sparesRoom(late, this.dispatch.forecast(now), now)) {
-			this.flow.startPrefill(j, late, now);
+		Placement warmUp = this.dispatcher.placeForWarmUp(j, selector);
+		if (warmUp != null && this.dispatcher.keepsSlotReserve(warmUp, this.dispatcher.forecastSlots(now), now)) {
+			this.lifecycle.startPrefill(j, warmUp, now);
 		}
 		else {
-			this.flow.refuse(j, RefusalCode.DEADLINE_INFEASIBLE, "The targets cannot be met at the present load.", 1000,
-					now);
+			this.lifecycle.refuse(j, RefusalCode.DEADLINE_INFEASIBLE,
+					"The latency targets cannot be met at the current load.", 1000, now);
 		}
 	}
 
 	private void startTransfers(long now) {
-		for (Job j : this.jobs.kvReady()) {
-			boolean urgent = now >= j.kvUntil - JobFlow.KV_URGENT_MS;
-			DecodeWorker d = new Placer(this.fleet, this.settings, 0, now).transferTarget(j, urgent);
+		for (Job j : this.jobs.kvReadyJobs()) {
+			boolean urgent = now >= j.kvUsableUntil - JobLifecycle.KV_URGENT_BEFORE_EXPIRY_MS;
+			DecodeWorker d = new PlacementSelector(this.fleet, this.settings, 0, now).selectTransferTarget(j, urgent);
 			if (d != null) {
-				this.flow.startTransfer(j, d, now);
+				this.lifecycle.startTransfer(j, d, now);
 			}
 		}
 	}
 
-	private double share(String customer) {
-		double share = this.contracts.find(customer).map(Contract::share).orElse(UNKNOWN_SHARE);
+	private double weightOf(String customer) {
+		double share = this.contracts.find(customer).map(Contract::share).orElse(UNKNOWN_CUSTOMER_SHARE);
 		return share * this.shareFactor.applyAsDouble(customer);
 	}
 
--- a/src/main/java/io/shallotspur/cell/package-info.java
+++ b/src/main/java/io/shallotspur/cell/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Decisions about the model requests of one cell (the prefill and decode workers of one
- * model that one entry VM admits work to). The scheduler is a state machine: it takes
- * events, returns actions, and touches neither clock, thread nor network.
+ * Scheduling of the model requests of one cell: a set of prefill and decode workers of
+ * one model to which a single entry VM admits requests. The scheduler is a state machine:
+ * it consumes events and returns actions, and uses no clock, threads or network.
  */
 @NullMarked
 package io.shallotspur.cell;
--- a/src/test/java/io/shallotspur/cell/CellFailureTests.java
+++ b/src/test/java/io/shallotspur/cell/CellFailureTests.java
@@ -16,154 +16,158 @@
 class CellFailureTests {
 
 	/**
-	 * What a suspect needs to generate the tokens that clear it, but for one step.
+	 * Time in which a suspect generates the tokens that clear it, less one step, in
+	 * milliseconds.
 	 */
-	private static final long PROOF_MS = (CellSettings.defaults().suspectClearTokens() - 1) * 40L;
+	private static final long CLEARING_MS = (CellSettings.defaults().suspectClearTokens() - 1) * 40L;
 
-	private static CellDriver cell(int prefill, int decode) {
-		return CellDriver.of(CellSettings.defaults(), prefill, decode, 20);
+	private static CellSimulation cell(int prefill, int decode) {
+		return CellSimulation.of(CellSettings.defaults(), prefill, decode, 20);
 	}
 
-	private static void assertNothingHeld(CellDriver d) {
-		assertThat(d.idle()).isTrue();
-		assertThat(d.scheduler.activeRequestCount()).isZero();
+	private static void assertNoResourcesHeld(CellSimulation sim) {
+		assertThat(sim.isIdle()).isTrue();
+		assertThat(sim.scheduler.activeRequestCount()).isZero();
 	}
 
 	@Test
-	void stalledTransferGoesToAnotherWorkerWithoutASecondPrefill() {
-		// A link of a decode worker hangs while KV caches move to it. Callers would wait
-		// without a first token until their deadline; instead the same KV cache is sent
-		// elsewhere, and the worker is left alone for a while.
-		CellDriver d = cell(1, 2);
-		d.stalledWorkers.add("d1");
-		d.stalledWorkers.add("d2");
-		d.submit(d.request("r1", "a", 0, 6000), 20);
-		d.runTo(1250);
-		String first = d.transferring.values().iterator().next();
-		d.stalledWorkers.remove(first.equals("d1") ? "d2" : "d1");
-		d.runTo(20_000);
-		assertThat(d.completed).containsExactly("r1");
-		assertThat(d.computed.get("r1")).isEqualTo(6000);
-		assertThat(d.actions).anyMatch((a) -> a instanceof CellAction.CancelTransfer);
-		assertThat(d.firstTokenAt.get("r1")).isLessThanOrEqualTo(2000);
-		assertNothingHeld(d);
+	void stalledTransferIsRetriedOnAnotherWorkerWithoutPrefill() {
+		// The link of a decode worker stalls during KV cache transfers. Without stall
+		// detection, callers would wait for a first token until their deadline. The same
+		// KV cache must be sent to another worker, and the stalled worker is skipped
+		// temporarily.
+		CellSimulation sim = cell(1, 2);
+		sim.stalledWorkers.add("d1");
+		sim.stalledWorkers.add("d2");
+		sim.submit(sim.request("r1", "a", 0, 6000), 20);
+		sim.runUntil(1250);
+		String first = sim.transferring.values().iterator().next();
+		sim.stalledWorkers.remove(first.equals("d1") ? "d2" : "d1");
+		sim.runUntil(20_000);
+		assertThat(sim.completed).containsExactly("r1");
+		assertThat(sim.computedTokens.get("r1")).isEqualTo(6000);
+		assertThat(sim.actions).anyMatch((a) -> a instanceof CellAction.CancelTransfer);
+		assertThat(sim.firstTokenAt.get("r1")).isLessThanOrEqualTo(2000);
+		assertNoResourcesHeld(sim);
 	}
 
 	@Test
-	void lostDecodeWorkerCostsNoTokensTheCallerHas() {
-		// A decode worker dies in the middle of an answer. The caller sees a pause, and
-		// the rest of the answer follows from another worker, with no token twice.
-		CellDriver d = cell(2, 2);
-		d.submit(d.request("r1", "a", 0, 6000), 100);
-		d.runTo(3000);
-		String worker = d.decoding.values().iterator().next();
-		d.crash(worker);
-		d.runTo(20_000);
-		assertThat(d.completed).containsExactly("r1");
-		List<CellAction.StartPrefill> starts = d.starts();
+	void answerResumesWithoutDuplicateTokensAfterDecodeWorkerCrash() {
+		// A decode worker crashes in the middle of an answer. After a pause, another
+		// worker must generate the rest, without repeating a token.
+		CellSimulation sim = cell(2, 2);
+		sim.submit(sim.request("r1", "a", 0, 6000), 100);
+		sim.runUntil(3000);
+		String worker = sim.decoding.values().iterator().next();
+		sim.crash(worker);
+		sim.runUntil(20_000);
+		assertThat(sim.completed).containsExactly("r1");
+		List<CellAction.StartPrefill> starts = sim.prefillStarts();
 		assertThat(starts).hasSize(2);
 		assertThat(starts.get(1).deliveredTokens()).isPositive();
 		assertThat(starts.get(1).decodeWorkerId()).isNotEqualTo(worker);
-		assertNothingHeld(d);
+		assertNoResourcesHeld(sim);
 	}
 
 	@Test
-	void lostDecodeWorkerLeavesTheKvCacheOfATransferUsable() {
-		// The worker dies while a KV cache moves to it. The cache still lies at the
-		// prefill worker, so it is sent elsewhere instead of being computed again.
-		CellDriver d = cell(1, 2);
-		d.submit(d.request("r1", "a", 0, 6000), 20);
-		d.runTo(1250);
-		d.crash(d.transferring.values().iterator().next());
-		d.runTo(20_000);
-		assertThat(d.completed).containsExactly("r1");
-		assertThat(d.starts()).hasSize(1);
-		assertNothingHeld(d);
+	void transferIsRetriedWithTheSameKvCacheAfterDecodeWorkerCrash() {
+		// A decode worker crashes during a KV cache transfer. The cache is still on the
+		// prefill worker, so it must be sent to another decode worker instead of being
+		// computed again.
+		CellSimulation sim = cell(1, 2);
+		sim.submit(sim.request("r1", "a", 0, 6000), 20);
+		sim.runUntil(1250);
+		sim.crash(sim.transferring.values().iterator().next());
+		sim.runUntil(20_000);
+		assertThat(sim.completed).containsExactly("r1");
+		assertThat(sim.prefillStarts()).hasSize(1);
+		assertNoResourcesHeld(sim);
 	}
 
 	@Test
-	void lostPrefillWorkerIsReplaced() {
-		// The prefill worker dies while it reads the prompt. The prompt is read again by
-		// another one; the caller only waits longer.
-		CellDriver d = cell(2, 1);
-		d.submit(d.request("r1", "a", 0, 4000), 20);
-		d.runTo(300);
-		String worker = d.prefilling.values().iterator().next();
-		d.crash(worker);
-		d.runTo(20_000);
-		assertThat(d.completed).containsExactly("r1");
-		assertThat(d.starts().get(1).prefillWorkerId()).isNotEqualTo(worker);
-		assertNothingHeld(d);
+	void prefillIsRetriedOnAnotherWorkerAfterCrash() {
+		// A prefill worker crashes during a prefill. Another worker must repeat the
+		// prefill, so that the caller only waits longer.
+		CellSimulation sim = cell(2, 1);
+		sim.submit(sim.request("r1", "a", 0, 4000), 20);
+		sim.runUntil(300);
+		String worker = sim.prefilling.values().iterator().next();
+		sim.crash(worker);
+		sim.runUntil(20_000);
+		assertThat(sim.completed).containsExactly("r1");
+		assertThat(sim.prefillStarts().get(1).prefillWorkerId()).isNotEqualTo(worker);
+		assertNoResourcesHeld(sim);
 	}
 
 	@Test
-	void lostRequestThatMayNotBeRepeatedEndsAsUnknown() {
-		// The worker dies while it runs a request that may run once at most. The caller
-		// is told that nobody knows, and it is not run again.
-		CellDriver d = cell(1, 2);
-		ModelRequest r = d.request("r1", "a", 0, 6000);
-		d.submit(new ModelRequest("r1", "a", "c", r.promptTokens(), r.prefixBlocks(), 0, 1, 2000, 53, 0, 15_000, false,
-				7), 100);
-		d.runTo(3000);
-		d.crash(d.decoding.values().iterator().next());
-		d.runTo(20_000);
-		assertThat(d.refused.get("r1").outcome()).isEqualTo(Outcome.OUTCOME_UNKNOWN);
-		assertThat(d.starts()).hasSize(1);
-		assertNothingHeld(d);
+	void lostNonRepeatableRequestEndsWithUnknownOutcome() {
+		// A worker crashes while it runs a request that may run at most once. The request
+		// must not be retried, and the caller must receive an unknown outcome.
+		CellSimulation sim = cell(1, 2);
+		ModelRequest r = sim.request("r1", "a", 0, 6000);
+		sim.submit(new ModelRequest("r1", "a", "c", r.promptTokens(), r.prefixBlocks(), 0, 1, 2000, 53, 0, 15_000,
+				false, 7), 100);
+		sim.runUntil(3000);
+		sim.crash(sim.decoding.values().iterator().next());
+		sim.runUntil(20_000);
+		assertThat(sim.refusals.get("r1").outcome()).isEqualTo(Outcome.OUTCOME_UNKNOWN);
+		assertThat(sim.prefillStarts()).hasSize(1);
+		assertNoResourcesHeld(sim);
 	}
 
 	@Test
-	void nothingStaysHeldForACallerWhoLeftAtAnyStage() {
-		// The caller closes the connection while its request waits, is read, waits for a
-		// transfer, is moved or is generated. Memory that stayed held would be lost to
-		// all others.
-		for (long leaveAt : new long[] { 0, 100, 1200, 1210, 1290, 1400, 2500 }) {
-			CellDriver d = cell(1, 1);
-			d.submit(d.request("other", "a", 0, 3000), 5);
-			d.submit(d.request("gone", "a", 0, 6000), 100);
-			d.runTo(leaveAt);
-			d.event(new CellEvent.CallerGone("gone"));
-			assertThat(d.decoding.size() + d.transferring.size() + d.kv.size() + d.prefilling.size())
+	void cancellationReleasesResourcesAtEveryStage() {
+		// The caller disconnects while its request is queued, in prefill, ready for
+		// transfer, in transfer or decoding. Slots and memory that are not released would
+		// be unavailable to all other requests.
+		for (long cancelAt : new long[] { 0, 100, 1200, 1210, 1290, 1400, 2500 }) {
+			CellSimulation sim = cell(1, 1);
+			sim.submit(sim.request("other", "a", 0, 3000), 5);
+			sim.submit(sim.request("gone", "a", 0, 6000), 100);
+			sim.runUntil(cancelAt);
+			sim.deliver(new CellEvent.CallerGone("gone"));
+			assertThat(sim.decoding.size() + sim.transferring.size() + sim.kvHeld.size() + sim.prefilling.size())
 				.isLessThanOrEqualTo(1);
-			d.runTo(20_000);
-			assertThat(d.completed).as("left at %d", leaveAt).containsExactly("other");
-			assertThat(d.refused).isEmpty();
-			assertNothingHeld(d);
+			sim.runUntil(20_000);
+			assertThat(sim.completed).as("cancelled at %d ms", cancelAt).containsExactly("other");
+			assertThat(sim.refusals).isEmpty();
+			assertNoResourcesHeld(sim);
 		}
 	}
 
 	@Test
-	void lateAnswersOfAnAttemptThatWasGivenUpAreDropped() {
-		// The finish of a cancelled prefill arrives after the cancellation. Taken for
-		// that of the next attempt it would start a transfer of a KV cache that is gone.
-		CellDriver d = cell(1, 1);
-		d.submit(d.request("r1", "a", 0, 6000), 10);
-		d.event(new CellEvent.CallerGone("r1"));
-		int before = d.actions.size();
-		d.event(new CellEvent.PrefillDone(1, 6000));
-		d.event(new CellEvent.TransferDone(1));
-		d.event(new CellEvent.Tokens(1, 1));
-		d.event(new CellEvent.DecodeDone(1));
-		assertThat(d.actions).hasSize(before);
+	void eventsOfACancelledAttemptAreIgnored() {
+		// The completion of a cancelled prefill arrives after the cancellation. If it
+		// were attributed to the next attempt, a transfer of a KV cache that no longer
+		// exists would start.
+		CellSimulation sim = cell(1, 1);
+		sim.submit(sim.request("r1", "a", 0, 6000), 10);
+		sim.deliver(new CellEvent.CallerGone("r1"));
+		int before = sim.actions.size();
+		sim.deliver(new CellEvent.PrefillDone(1, 6000));
+		sim.deliver(new CellEvent.TransferDone(1));
+		sim.deliver(new CellEvent.Tokens(1, 1));
+		sim.deliver(new CellEvent.DecodeDone(1));
+		assertThat(sim.actions).hasSize(before);
 	}
 
 	@Test
-	void leavingWorkerGetsNothingNewAndFinishesWhatItHas() {
-		// An operator drains a worker. Whoever is on it gets the whole answer; nobody new
-		// is sent there.
-		CellDriver d = cell(2, 2);
-		d.submit(d.request("r1", "a", 0, 6000), 100);
-		d.runTo(2000);
-		String worker = d.decoding.values().iterator().next();
-		d.event(new CellEvent.WorkerLeaving(worker));
-		d.event(new CellEvent.WorkerLeaving("p1"));
-		int before = d.actions.size();
+	void drainingWorkerFinishesItsRequestsAndGetsNoNewOnes() {
+		// An operator drains a worker. Requests on it must complete, and no new request
+		// may be sent to it.
+		CellSimulation sim = cell(2, 2);
+		sim.submit(sim.request("r1", "a", 0, 6000), 100);
+		sim.runUntil(2000);
+		String worker = sim.decoding.values().iterator().next();
+		sim.deliver(new CellEvent.WorkerLeaving(worker));
+		sim.deliver(new CellEvent.WorkerLeaving("p1"));
+		int before = sim.actions.size();
 		for (int i = 0; i < 5; i++) {
-			d.submit(d.request("n" + i, "a", 0, 5500), 10);
+			sim.submit(sim.request("n" + i, "a", 0, 5500), 10);
 		}
-		d.runTo(20_000);
-		assertThat(d.completed).contains("r1");
-		d.actions.subList(before, d.actions.size()).forEach((a) -> {
+		sim.runUntil(20_000);
+		assertThat(sim.completed).contains("r1");
+		sim.actions.subList(before, sim.actions.size()).forEach((a) -> {
 			if (a instanceof CellAction.StartPrefill s) {
 				assertThat(s.prefillWorkerId()).isNotEqualTo("p1");
 			}
@@ -171,121 +175,125 @@
 				assertThat(s.decodeWorkerId()).isNotEqualTo(worker);
 			}
 		});
-		assertNothingHeld(d);
+		assertNoResourcesHeld(sim);
 	}
 
 	@Test
-	void requestThatCrashesItsWorkerCostsTwoWorkersAtMostAndNoNeighbour() {
-		// One request kills every worker that decodes it, and its caller sends it again.
-		// Its neighbours see a pause; it is refused after the second crash.
-		CellDriver d = cell(2, 3);
+	void crashingRequestIsQuarantinedAfterTwoCrashes() {
+		// One request crashes every worker that decodes it, and its caller sends it
+		// again. It must be refused after the second crash, and all other requests on the
+		// crashed workers must complete.
+		CellSimulation sim = cell(2, 3);
 		for (int i = 0; i < 6; i++) {
-			d.submit(d.request("n" + i, "a", 0, 5400), 60);
-			d.runTo(d.now + 500);
+			sim.submit(sim.request("n" + i, "a", 0, 5400), 60);
+			sim.runUntil(sim.now + 500);
 		}
-		d.poison.add("bad");
-		ModelRequest bad = d.request("bad", "a", 0, 5400);
-		d.submit(bad, 60);
-		d.runTo(d.now + 10_000);
-		assertThat(d.crashed).hasSize(2);
-		assertThat(d.refused.get("bad").code()).isEqualTo(RefusalCode.QUARANTINED);
-		assertThat(d.completed).hasSize(6);
-		ModelRequest again = d.request("bad", "a", 0, 5400);
-		d.submit(again, 60);
-		assertThat(d.crashed).hasSize(2);
-		assertThat(d.refused.get("bad").outcome()).isEqualTo(Outcome.NOT_RUN);
-		assertNothingHeld(d);
+		sim.crashingRequests.add("bad");
+		ModelRequest bad = sim.request("bad", "a", 0, 5400);
+		sim.submit(bad, 60);
+		sim.runUntil(sim.now + 10_000);
+		assertThat(sim.crashedWorkers).hasSize(2);
+		assertThat(sim.refusals.get("bad").code()).isEqualTo(RefusalCode.QUARANTINED);
+		assertThat(sim.completed).hasSize(6);
+		ModelRequest again = sim.request("bad", "a", 0, 5400);
+		sim.submit(again, 60);
+		assertThat(sim.crashedWorkers).hasSize(2);
+		assertThat(sim.refusals.get("bad").outcome()).isEqualTo(Outcome.NOT_RUN);
+		assertNoResourcesHeld(sim);
 	}
 
 	@Test
-	void suspectsAreKeptApart() {
-		// A worker died with several requests on it. If two of them met on the next
-		// worker and it died too, nobody could tell which of them did it.
-		CellDriver d = cell(2, 3);
+	void suspectsRunOneAtATimePerWorker() {
+		// A worker crashed with several requests on it. If two of them ran on the same
+		// worker and that crashed too, the cause could not be identified.
+		CellSimulation sim = cell(2, 3);
 		for (int i = 0; i < 6; i++) {
-			d.submit(d.request("n" + i, "a", 0, 5400), 300);
-			d.runTo(d.now + 400);
+			sim.submit(sim.request("n" + i, "a", 0, 5400), 300);
+			sim.runUntil(sim.now + 400);
 		}
-		d.runTo(5000);
-		d.event(new CellEvent.WorkerLeaving("d2"));
-		d.event(new CellEvent.WorkerLeaving("d3"));
-		d.crash("d1");
-		d.event(new CellEvent.WorkerUp(CellDriver.decodeWorker("d4", 20)));
-		Map<Long, Long> since = new HashMap<>();
-		int most = 0;
+		sim.runUntil(5000);
+		sim.deliver(new CellEvent.WorkerLeaving("d2"));
+		sim.deliver(new CellEvent.WorkerLeaving("d3"));
+		sim.crash("d1");
+		sim.deliver(new CellEvent.WorkerUp(CellSimulation.decodeWorker("d4", 20)));
+		Map<Long, Long> decodingSince = new HashMap<>();
+		int maxUncleared = 0;
 		for (int i = 0; i < 400; i++) {
-			d.runTo(d.now + 10);
-			Set<Long> onNew = d.attemptsOn("d4");
-			onNew.forEach((a) -> since.putIfAbsent(a, d.now));
-			long unproven = onNew.stream().filter((a) -> d.now - since.get(a) < PROOF_MS).count();
-			most = Math.max(most, (int) unproven);
+			sim.runUntil(sim.now + 10);
+			Set<Long> attemptsOnNewWorker = sim.attemptsOn("d4");
+			attemptsOnNewWorker.forEach((a) -> decodingSince.putIfAbsent(a, sim.now));
+			long uncleared = attemptsOnNewWorker.stream()
+				.filter((a) -> sim.now - decodingSince.get(a) < CLEARING_MS)
+				.count();
+			maxUncleared = Math.max(maxUncleared, (int) uncleared);
 		}
-		assertThat(since).hasSizeGreaterThan(1);
-		assertThat(most).isEqualTo(1);
+		assertThat(decodingSince).hasSizeGreaterThan(1);
+		assertThat(maxUncleared).isEqualTo(1);
 	}
 
 	@Test
-	void aRequestThatCrashesLateIsConvictedAtTheThirdCrash() {
-		// The request runs past the point at which suspects are taken for harmless, and
-		// crashes its worker each time its caller sends it again. Were it cleared on the
-		// way, each resend would cost one more worker.
-		CellDriver d = cell(2, 8);
-		d.poison.add("bad");
-		d.poisonAfter = CellSettings.defaults().suspectClearTokens() + 10;
-		for (int i = 0; i < 6 && !d.refused.containsKey("bad"); i++) {
-			int before = d.crashed.size();
-			d.submit(d.request("bad", "a", 0, 5400), 100);
-			d.submit(d.request("n" + i, "a", 0, 5400), 60);
-			while (d.crashed.size() == before && !d.refused.containsKey("bad") && d.now < 120_000) {
-				d.runTo(d.now + 10);
+	void requestThatCrashesLateIsQuarantinedByTheThirdCrash() {
+		// The request crashes its worker after the point at which suspects are cleared,
+		// each time its caller sends it again. If it were cleared every time, each resend
+		// would crash another worker.
+		CellSimulation sim = cell(2, 8);
+		sim.crashingRequests.add("bad");
+		sim.crashAfterTokens = CellSettings.defaults().suspectClearTokens() + 10;
+		for (int i = 0; i < 6 && !sim.refusals.containsKey("bad"); i++) {
+			int before = sim.crashedWorkers.size();
+			sim.submit(sim.request("bad", "a", 0, 5400), 100);
+			sim.submit(sim.request("n" + i, "a", 0, 5400), 60);
+			while (sim.crashedWorkers.size() == before && !sim.refusals.containsKey("bad") && sim.now < 120_000) {
+				sim.runUntil(sim.now + 10);
 			}
-			d.event(new CellEvent.CallerGone("bad"));
-			d.runTo(d.now + 1000);
+			sim.deliver(new CellEvent.CallerGone("bad"));
+			sim.runUntil(sim.now + 1000);
 		}
-		assertThat(d.refused.get("bad").code()).isEqualTo(RefusalCode.QUARANTINED);
-		assertThat(d.crashed).hasSizeLessThanOrEqualTo(3);
+		assertThat(sim.refusals.get("bad").code()).isEqualTo(RefusalCode.QUARANTINED);
+		assertThat(sim.crashedWorkers).hasSizeLessThanOrEqualTo(3);
 	}
 
 	@Test
-	void resendOfASuspectIsASuspectToo() {
-		// The caller of a request that crashed a worker gives up and sends it again.
-		// Taken for a fresh request it would share a worker with others and crash one
-		// more.
-		CellDriver d = cell(2, 3);
-		d.poison.add("bad");
-		d.submit(d.request("bad", "a", 0, 5400), 60);
-		d.submit(d.request("n", "a", 0, 5400), 60);
-		while (d.crashed.isEmpty()) {
-			d.runTo(d.now + 10);
+	void resubmittedSuspectRemainsASuspect() {
+		// The caller of a request that crashed a worker disconnects and sends it again.
+		// If it were treated as a new request, it would share a worker with other
+		// suspects and crash one more.
+		CellSimulation sim = cell(2, 3);
+		sim.crashingRequests.add("bad");
+		sim.submit(sim.request("bad", "a", 0, 5400), 60);
+		sim.submit(sim.request("n", "a", 0, 5400), 60);
+		while (sim.crashedWorkers.isEmpty()) {
+			sim.runUntil(sim.now + 10);
 		}
-		d.event(new CellEvent.CallerGone("bad"));
-		d.submit(d.request("bad", "a", 0, 5400), 60);
-		d.runTo(d.now + 10_000);
-		assertThat(d.crashed).hasSize(2);
-		assertThat(d.refused.get("bad").code()).isEqualTo(RefusalCode.QUARANTINED);
+		sim.deliver(new CellEvent.CallerGone("bad"));
+		sim.submit(sim.request("bad", "a", 0, 5400), 60);
+		sim.runUntil(sim.now + 10_000);
+		assertThat(sim.crashedWorkers).hasSize(2);
+		assertThat(sim.refusals.get("bad").code()).isEqualTo(RefusalCode.QUARANTINED);
 	}
 
 	@Test
-	void newOwnerStaysBelowItsBoundUntilTheFormerOneHasLeft() {
-		// Two nodes may both believe that they own a cell. The new one admits a few
-		// requests per worker only, so that the engines' memory is not promised twice.
-		CellDriver d = cell(4, 2);
-		d.scheduler.handle(new CellEvent.TakeoverStarted(6000), 0, (a) -> {
+	void newOwnerLimitsDecodeSlotsUntilTakeoverEnds() {
+		// After a change of owner, two nodes may both consider themselves the owner of a
+		// cell. The new owner must admit only a few requests per worker, so that both
+		// together do not overcommit the memory of the engines.
+		CellSimulation sim = cell(4, 2);
+		sim.scheduler.handle(new CellEvent.TakeoverStarted(6000), 0, (a) -> {
 		});
 		Set<Integer> seen = new HashSet<>();
 		for (int i = 0; i < 40; i++) {
-			d.submit(d.request("r" + i, "a", 0, 5400), 100);
-			d.runTo(d.now + 100);
-			seen.add(d.decoding.size() + d.transferring.size());
+			sim.submit(sim.request("r" + i, "a", 0, 5400), 100);
+			sim.runUntil(sim.now + 100);
+			seen.add(sim.decoding.size() + sim.transferring.size());
 		}
 		int bound = 2 * CellSettings.defaults().takeoverSlots();
 		assertThat(seen).allSatisfy((n) -> assertThat(n).isLessThanOrEqualTo(bound));
-		d.scheduler.endTakeover();
+		sim.scheduler.endTakeover();
 		for (int i = 40; i < 70; i++) {
-			d.submit(d.request("r" + i, "a", 0, 5400), 100);
-			d.runTo(d.now + 100);
+			sim.submit(sim.request("r" + i, "a", 0, 5400), 100);
+			sim.runUntil(sim.now + 100);
 		}
-		assertThat(d.decoding.size() + d.transferring.size()).isGreaterThan(bound);
+		assertThat(sim.decoding.size() + sim.transferring.size()).isGreaterThan(bound);
 	}
 
 }
--- a/src/test/java/io/shallotspur/cell/CellDriver.java
+++ b/src/test/java/io/shallotspur/cell/CellSimulation.java
@@ -16,12 +16,12 @@
 import io.shallotspur.outcome.Refusal;
 
 /**
- * Drives a scheduler in virtual time over engines of constant speed. It holds the books
- * on what runs where, so that a test can ask what is left behind.
+ * Runs a scheduler in virtual time against simulated engines of constant speed. It tracks
+ * what runs on each worker, so that tests can detect leaked resources.
  */
-final class CellDriver {
+final class CellSimulation {
 
-	static final int PREAMBLE_BLOCKS = 20;
+	static final int SHARED_PREFIX_BLOCKS = 20;
 
 	private static final double PREFILL_MS_PER_TOKEN = 0.2;
 
@@ -31,19 +31,19 @@
 
 	final StdCellScheduler scheduler;
 
-	final Map<String, Refusal> refused = new HashMap<>();
+	final Map<String, Refusal> refusals = new HashMap<>();
 
 	final Set<String> completed = new HashSet<>();
 
 	final Map<String, Long> firstTokenAt = new HashMap<>();
 
-	final Map<String, Integer> outputs = new HashMap<>();
+	final Map<String, Integer> outputTokens = new HashMap<>();
 
 	final List<CellAction> actions = new ArrayList<>();
 
 	final Map<Long, String> prefilling = new HashMap<>();
 
-	final Map<Long, String> kv = new HashMap<>();
+	final Map<Long, String> kvHeld = new HashMap<>();
 
 	final Map<Long, String> transferring = new HashMap<>();
 
@@ -51,16 +51,17 @@
 
 	final Set<String> stalledWorkers = new HashSet<>();
 
-	final Set<String> poison = new HashSet<>();
+	final Set<String> crashingRequests = new HashSet<>();
 
 	/**
-	 * The tokens after which a poisonous request crashes its worker.
+	 * Number of generated tokens after which one of {@link #crashingRequests} crashes its
+	 * worker.
 	 */
-	int poisonAfter;
+	int crashAfterTokens;
 
-	final List<String> crashed = new ArrayList<>();
+	final List<String> crashedWorkers = new ArrayList<>();
 
-	final Map<String, Long> computed = new HashMap<>();
+	final Map<String, Long> computedTokens = new HashMap<>();
 
 	private final Map<Long, CellAction.StartPrefill> attempts = new HashMap<>();
 
@@ -68,28 +69,28 @@
 
 	private final Map<String, Set<Long>> caches = new HashMap<>();
 
-	private final PriorityQueue<Planned> planned = new PriorityQueue<>(
-			Comparator.comparingLong(Planned::at).thenComparingLong(Planned::order));
+	private final PriorityQueue<Task> tasks = new PriorityQueue<>(
+			Comparator.comparingLong(Task::at).thenComparingLong(Task::order));
 
-	private final List<CellAction> pending = new ArrayList<>();
+	private final List<CellAction> pendingActions = new ArrayList<>();
 
-	private long order;
+	private long nextOrder;
 
 	long now;
 
-	CellDriver(StdCellScheduler scheduler) {
+	CellSimulation(StdCellScheduler scheduler) {
 		this.scheduler = scheduler;
 	}
 
-	static CellDriver of(CellSettings settings, int prefill, int decode, int slots) {
-		CellDriver d = new CellDriver(new StdCellScheduler(settings, contracts(), 1));
+	static CellSimulation of(CellSettings settings, int prefill, int decode, int slots) {
+		CellSimulation sim = new CellSimulation(new StdCellScheduler(settings, contracts(), 1));
 		for (int i = 1; i <= prefill; i++) {
-			d.event(new CellEvent.WorkerUp(prefillWorker("p" + i)));
+			sim.deliver(new CellEvent.WorkerUp(prefillWorker("p" + i)));
 		}
 		for (int i = 1; i <= decode; i++) {
-			d.event(new CellEvent.WorkerUp(decodeWorker("d" + i, slots)));
+			sim.deliver(new CellEvent.WorkerUp(decodeWorker("d" + i, slots)));
 		}
-		return d;
+		return sim;
 	}
 
 	static ContractSet contracts() {
@@ -105,64 +106,64 @@
 		return new Worker(id, "llm", "hall", WorkerRole.DECODE, "", slots, 0, 0, 3000, 0.1);
 	}
 
-	ModelRequest request(String id, String customer, int preamble, int tokens) {
-		long[] blocks = new long[PREAMBLE_BLOCKS];
+	ModelRequest request(String id, String customer, int prefixId, int tokens) {
+		long[] blocks = new long[SHARED_PREFIX_BLOCKS];
 		for (int i = 0; i < blocks.length; i++) {
-			blocks[i] = preamble * 1000L + i;
+			blocks[i] = prefixId * 1000L + i;
 		}
 		return new ModelRequest(id, customer, "c", tokens, blocks, 0, 1, 2000, 53, this.now, this.now + 15_000, true,
 				id.hashCode());
 	}
 
-	void submit(ModelRequest r, int output) {
+	void submit(ModelRequest r, int outputLength) {
 		this.requests.put(r.id(), r);
-		this.outputs.put(r.id(), output);
-		event(new CellEvent.Submit(r));
+		this.outputTokens.put(r.id(), outputLength);
+		deliver(new CellEvent.Submit(r));
 	}
 
-	void event(CellEvent e) {
-		this.scheduler.handle(e, this.now, this.pending::add);
-		while (!this.pending.isEmpty()) {
-			List<CellAction> l = List.copyOf(this.pending);
-			this.pending.clear();
-			l.forEach(this::act);
+	void deliver(CellEvent e) {
+		this.scheduler.handle(e, this.now, this.pendingActions::add);
+		while (!this.pendingActions.isEmpty()) {
+			List<CellAction> l = List.copyOf(this.pendingActions);
+			this.pendingActions.clear();
+			l.forEach(this::perform);
 		}
 	}
 
-	void at(long at, Runnable task) {
-		this.planned.add(new Planned(at, this.order++, task));
+	void schedule(long at, Runnable task) {
+		this.tasks.add(new Task(at, this.nextOrder++, task));
 	}
 
-	void runTo(long end) {
+	void runUntil(long end) {
 		while (true) {
 			long wake = this.scheduler.nextWake(this.now);
-			Planned p = this.planned.peek();
-			long next = Math.min(wake, (p != null) ? p.at() : Long.MAX_VALUE);
+			Task task = this.tasks.peek();
+			long next = Math.min(wake, (task != null) ? task.at() : Long.MAX_VALUE);
 			if (next > end) {
 				this.now = end;
 				return;
 			}
 			this.now = Math.max(this.now, next);
-			if (p != null && p.at() <= next) {
-				this.planned.poll();
-				p.task().run();
+			if (task != null && task.at() <= next) {
+				this.tasks.poll();
+				task.action().run();
 			}
 			else {
-				event(new CellEvent.Tick());
+				deliver(new CellEvent.Tick());
 			}
 		}
 	}
 
 	void crash(String worker) {
-		this.crashed.add(worker);
-		for (Map<Long, String> m : List.of(this.prefilling, this.kv, this.transferring, this.decoding)) {
+		this.crashedWorkers.add(worker);
+		for (Map<Long, String> m : List.of(this.prefilling, this.kvHeld, this.transferring, this.decoding)) {
 			m.values().removeIf(worker::equals);
 		}
 		this.caches.remove(worker);
-		event(new CellEvent.WorkerDown(worker));
+		deliver(new CellEvent.WorkerDown(worker));
 	}
 
-	List<CellAction.StartPrefill> starts() {
+	List<CellAction.StartPrefill> prefillStarts() {
 		return this.actions.stream()
 			.filter(CellAction.StartPrefill.class::isInstance)
 			.map(CellAction.StartPrefill.class::cast)
@@ -179,23 +180,24 @@
 		return l;
 	}
 
-	boolean idle() {
-		return this.prefilling.isEmpty() && this.kv.isEmpty() && this.transferring.isEmpty() && this.decoding.isEmpty();
+	boolean isIdle() {
+		return this.prefilling.isEmpty() && this.kvHeld.isEmpty() && this.transferring.isEmpty()
+				&& this.decoding.isEmpty();
 	}
 
-	private void act(CellAction action) {
+	private void perform(CellAction action) {
 		this.actions.add(action);
 		if (action instanceof CellAction.StartPrefill a) {
 			startPrefill(a);
 		}
 		else if (action instanceof CellAction.StartTransfer a) {
 			this.transferring.put(a.attempt(), a.decodeWorkerId());
-			at(this.now + TRANSFER_MS, () -> endTransfer(a));
+			schedule(this.now + TRANSFER_MS, () -> finishTransfer(a));
 		}
 		else if (action instanceof CellAction.StartDecode a) {
 			this.transferring.remove(a.attempt());
 			this.decoding.put(a.attempt(), a.decodeWorkerId());
-			step(a, this.attempts.get(a.attempt()).deliveredTokens());
+			scheduleStep(a, this.attempts.get(a.attempt()).deliveredTokens());
 		}
 		else if (action instanceof CellAction.CancelPrefill a) {
 			this.prefilling.remove(a.attempt());
@@ -207,10 +209,10 @@
 			this.decoding.remove(a.attempt());
 		}
 		else if (action instanceof CellAction.ReleaseKv a) {
-			this.kv.remove(a.attempt());
+			this.kvHeld.remove(a.attempt());
 		}
 		else if (action instanceof CellAction.Refuse a) {
-			this.refused.put(a.requestId(), a.refusal());
+			this.refusals.put(a.requestId(), a.refusal());
 		}
 	}
 
@@ -219,50 +221,50 @@
 		this.prefilling.put(a.attempt(), a.prefillWorkerId());
 		ModelRequest r = this.requests.get(a.requestId());
 		Set<Long> cache = this.caches.computeIfAbsent(a.prefillWorkerId(), (k) -> new HashSet<>());
-		boolean held = r.prefixBlocks().length > 0 && cache.contains(r.prefixBlocks()[0]);
+		boolean cached = r.prefixBlocks().length > 0 && cache.contains(r.prefixBlocks()[0]);
 		int tokens = r.promptTokens() + a.deliveredTokens();
-		int missing = held ? tokens - r.prefixBlocks().length * ModelRequest.BLOCK_TOKENS : tokens;
-		at(this.now + Math.round(missing * PREFILL_MS_PER_TOKEN), () -> {
+		int uncached = cached ? tokens - r.prefixBlocks().length * ModelRequest.BLOCK_TOKENS : tokens;
+		schedule(this.now + Math.round(uncached * PREFILL_MS_PER_TOKEN), () -> {
 			if (this.prefilling.remove(a.attempt()) != null) {
-				this.computed.merge(a.requestId(), (long) missing, Long::sum);
-				this.kv.put(a.attempt(), a.prefillWorkerId());
+				this.computedTokens.merge(a.requestId(), (long) uncached, Long::sum);
+				this.kvHeld.put(a.attempt(), a.prefillWorkerId());
 				for (long b : r.prefixBlocks()) {
 					cache.add(b);
 				}
-				event(new CellEvent.PrefillDone(a.attempt(), missing));
+				deliver(new CellEvent.PrefillDone(a.attempt(), uncached));
 			}
 		});
 	}
 
-	private void endTransfer(CellAction.StartTransfer a) {
+	private void finishTransfer(CellAction.StartTransfer a) {
 		if (this.transferring.containsKey(a.attempt()) && !this.stalledWorkers.contains(a.decodeWorkerId())) {
-			event(new CellEvent.TransferDone(a.attempt()));
+			deliver(new CellEvent.TransferDone(a.attempt()));
 		}
 	}
 
-	private void step(CellAction.StartDecode a, int done) {
-		at(this.now + STEP_MS, () -> {
+	private void scheduleStep(CellAction.StartDecode a, int generated) {
+		schedule(this.now + STEP_MS, () -> {
 			if (!this.decoding.containsKey(a.attempt())) {
 				return;
 			}
-			if (this.poison.contains(a.requestId()) && done >= this.poisonAfter) {
+			if (this.crashingRequests.contains(a.requestId()) && generated >= this.crashAfterTokens) {
 				crash(a.decodeWorkerId());
 				return;
 			}
 			this.firstTokenAt.putIfAbsent(a.requestId(), this.now);
-			event(new CellEvent.Tokens(a.attempt(), 1));
-			if (done + 1 >= this.outputs.get(a.requestId())) {
+			deliver(new CellEvent.Tokens(a.attempt(), 1));
+			if (generated + 1 >= this.outputTokens.get(a.requestId())) {
 				this.decoding.remove(a.attempt());
 				this.completed.add(a.requestId());
-				event(new CellEvent.DecodeDone(a.attempt()));
+				deliver(new CellEvent.DecodeDone(a.attempt()));
 			}
 			else {
-				step(a, done + 1);
+				scheduleStep(a, generated + 1);
 			}
 		});
 	}
 
-	private record Planned(long at, long order, Runnable task) {
+	private record Task(long at, long order, Runnable action) {
 
 	}
 
--- a/src/test/java/io/shallotspur/cell/PlacementBenchmark.java
+++ b/src/test/java/io/shallotspur/cell/PlacementBenchmark.java
@@ -29,9 +29,9 @@
 import io.shallotspur.routing.PrefillWorker;
 
 /**
- * One placement decision: find the cell of a request, take the next request in fair order
- * from a queue in which every customer waits, choose its prefill and its decode worker,
- * and charge its customer.
+ * Measures one placement decision: find the cell of a request, take the next request in
+ * fair order from a queue that holds a request of every customer, select its prefill and
+ * decode workers, and charge its customer.
  */
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -43,21 +43,21 @@
 
 	private static final int REQUESTS = 1024;
 
-	private static final int PREAMBLES = 40;
+	private static final int PREFIX_COUNT = 40;
 
 	/**
-	 * Workers of the deployment.
+	 * Number of workers in the deployment.
 	 */
 	@Param({ "8", "100", "6900" })
 	public int workers;
 
 	/**
-	 * Customers that wait.
+	 * Number of customers with a queued request.
 	 */
 	@Param({ "2", "1000", "33000" })
 	public int customers;
 
-	private CellLayout plan = CellLayout.of(List.of());
+	private CellLayout layout = CellLayout.of(List.of());
 
 	private final Map<String, CellFleet> fleets = new HashMap<>();
 
@@ -70,7 +70,7 @@
 	private long sequence;
 
 	/**
-	 * Fills caches and queue.
+	 * Fills the prefix caches and the queue.
 	 */
 	@Setup
 	public void setUp() {
@@ -79,19 +79,19 @@
 			WorkerRole role = (i % 2 == 0) ? WorkerRole.PREFILL : WorkerRole.DECODE;
 			all.add(new Worker("w" + i, "llm", "hall-" + (i / 2 % 5), role, "", 20, 24_000, 800, 3000, 0.1));
 		}
-		this.plan = CellLayout.of(all);
+		this.layout = CellLayout.of(all);
 		Random random = new Random(1);
-		for (Cell c : this.plan.cells()) {
+		for (Cell c : this.layout.cells()) {
 			CellFleet f = new CellFleet(CellSettings.defaults());
 			c.workers().forEach(f::add);
-			for (PrefillWorker p : f.prefill()) {
-				p.prefixIndex().recordPrompt(preamble(random.nextInt(PREAMBLES)), 0);
+			for (PrefillWorker p : f.prefillWorkers()) {
+				p.prefixIndex().recordPrompt(sharedPrefix(random.nextInt(PREFIX_COUNT)), 0);
 			}
 			this.fleets.put(c.id(), f);
 		}
 		for (int i = 0; i < REQUESTS; i++) {
 			this.requests.add(new ModelRequest("r" + i, "c" + i % this.customers, "c", 8500,
-					preamble(random.nextInt(PREAMBLES)), 0, 1, 2000, 53, 0, 15_000, true, i));
+					sharedPrefix(random.nextInt(PREFIX_COUNT)), 0, 1, 2000, 53, 0, 15_000, true, i));
 		}
 		for (int i = 0; i < this.customers; i++) {
 			this.queue.add(job(this.requests.get(i % REQUESTS), "c" + i));
@@ -99,14 +99,14 @@
 	}
 
 	/**
-	 * Decides one placement.
+	 * Makes one placement decision.
 	 * @return the placement
 	 */
 	@Benchmark
 	public @Nullable Placement decide() {
 		ModelRequest r = this.requests.get((int) (this.sequence % REQUESTS));
-		Cell cell = this.plan.locate("llm", r.prefixBlocks()[0]).orElseThrow();
-		Placer placer = new Placer(this.fleets.get(cell.id()), CellSettings.defaults(), 0.3, 0);
+		Cell cell = this.layout.locate("llm", r.prefixBlocks()[0]).orElseThrow();
+		PlacementSelector placer = new PlacementSelector(this.fleets.get(cell.id()), CellSettings.defaults(), 0.3, 0);
 		Placement[] chosen = new Placement[1];
 		Job next = this.queue.findNext(1, (j) -> {
 			chosen[0] = placer.place(j, 2000);
@@ -123,7 +123,7 @@
 		return new Job(r, flow, this.lengths, ++this.sequence);
 	}
 
-	private static long[] preamble(int n) {
+	private static long[] sharedPrefix(int n) {
 		long[] blocks = new long[33];
 		for (int i = 0; i < blocks.length; i++) {
 			blocks[i] = n * 1_000_003L + i * 7919L;
--- a/src/test/java/io/shallotspur/cell/StdCellSchedulerTests.java
+++ b/src/test/java/io/shallotspur/cell/StdCellSchedulerTests.java
@@ -7,29 +7,29 @@
 class StdCellSchedulerTests {
 
 	@Test
-	void runsEachRequestOnceAndHoldsNothingAfterwards() {
-		CellDriver d = CellDriver.of(CellSettings.defaults(), 2, 2, 4);
+	void completesEachRequestAndReleasesItsResources() {
+		CellSimulation sim = CellSimulation.of(CellSettings.defaults(), 2, 2, 4);
 		for (int i = 0; i < 6; i++) {
-			d.submit(d.request("r" + i, "a", i % 2, 5200), 20);
+			sim.submit(sim.request("r" + i, "a", i % 2, 5200), 20);
 		}
-		d.runTo(20_000);
-		assertThat(d.completed).hasSize(6);
-		assertThat(d.refused).isEmpty();
-		assertThat(d.idle()).isTrue();
-		assertThat(d.scheduler.activeRequestCount()).isZero();
+		sim.runUntil(20_000);
+		assertThat(sim.completed).hasSize(6);
+		assertThat(sim.refusals).isEmpty();
+		assertThat(sim.isIdle()).isTrue();
+		assertThat(sim.scheduler.activeRequestCount()).isZero();
 	}
 
 	@Test
-	void refusesWhatCannotMeetItsTargetsWithoutRunningIt() {
-		CellDriver d = CellDriver.of(CellSettings.defaults(), 1, 1, 4);
+	void refusesRequestsThatCannotMeetTheirTargets() {
+		CellSimulation sim = CellSimulation.of(CellSettings.defaults(), 1, 1, 4);
 		for (int i = 0; i < 10; i++) {
-			d.submit(d.request("r" + i, "a", i, 6000), 20);
+			sim.submit(sim.request("r" + i, "a", i, 6000), 20);
 		}
-		d.runTo(20_000);
-		assertThat(d.completed.size() + d.refused.size()).isEqualTo(10);
-		assertThat(d.refused).isNotEmpty();
-		d.firstTokenAt.values().forEach((t) -> assertThat(t).isLessThanOrEqualTo(2000));
-		assertThat(d.idle()).isTrue();
+		sim.runUntil(20_000);
+		assertThat(sim.completed.size() + sim.refusals.size()).isEqualTo(10);
+		assertThat(sim.refusals).isNotEmpty();
+		sim.firstTokenAt.values().forEach((t) -> assertThat(t).isLessThanOrEqualTo(2000));
+		assertThat(sim.isIdle()).isTrue();
 	}
 
 }
