--- a/src/main/java/io/shallotspur/locate/CellDefinition.java
+++ b/src/main/java/io/shallotspur/locate/CellDefinition.java
@@ -5,11 +5,12 @@
 import io.shallotspur.fleet.Worker;
 
 /**
- * Some workers of one upstream that are admitted to together. Immutable.
+ * A cell: a group of workers of one upstream to which a single owner admits requests.
+ * Immutable.
  *
  * @param name unique in the deployment
  * @param upstream the upstream
- * @param workers the workers, in order of their ids
+ * @param workers the workers, in order of their identifiers
  */
 public record CellDefinition(String name, String upstream, List<Worker> workers) {
 
--- a/src/main/java/io/shallotspur/locate/CellPartitioner.java
+++ b/src/main/java/io/shallotspur/locate/CellPartitioner.java
@@ -13,18 +13,19 @@
 import io.shallotspur.fleet.WorkerRole;
 
 /**
- * Divides workers into cells. Every VM computes the same cells from the same workers, and
- * a worker more or less moves few others. Stateless.
+ * Partitions workers into cells. Every VM computes the same cells from the same workers,
+ * and adding or removing a worker moves few others. Stateless.
  * <p>
- * An upstream with at most {@link #MAX_WORKERS} workers is one cell, whatever the halls:
- * one owner then knows all of it exactly. The workers of a larger model are divided by
- * {@link io.shallotspur.routing.CellLayout}, so that each cell has both roles and keeps
- * within a hall where it can; those of a larger plain service are spread evenly.
+ * An upstream with at most {@link #MAX_WORKERS} workers is a single cell even if it spans
+ * several halls, so that one owner has an exact view of all its workers. The workers of a
+ * larger model are partitioned by {@link io.shallotspur.routing.CellLayout}, so that each
+ * cell has both roles and stays within one hall where possible; those of a larger plain
+ * service are distributed evenly.
  */
 public final class CellPartitioner {
 
 	/**
-	 * The most workers in a cell.
+	 * Maximum number of workers in a cell.
 	 */
 	public static final int MAX_WORKERS = io.shallotspur.routing.CellLayout.MAX_WORKERS;
 
@@ -36,7 +37,7 @@
 	}
 
 	/**
-	 * Divides workers into cells.
+	 * Partitions workers into cells.
 	 * @param workers all workers
 	 * @return the cells in order of their names
 	 */
@@ -44,54 +45,54 @@
 		Map<String, List<Worker>> byUpstream = new TreeMap<>();
 		workers.forEach((w) -> byUpstream.computeIfAbsent(w.upstream(), (u) -> new ArrayList<>()).add(w));
 		List<CellDefinition> cells = new ArrayList<>();
-		byUpstream.forEach((upstream, list) -> divide(upstream, list, cells));
+		byUpstream.forEach((upstream, list) -> partitionUpstream(upstream, list, cells));
 		return List.copyOf(cells);
 	}
 
-	private static void divide(String upstream, List<Worker> workers, List<CellDefinition> out) {
+	private static void partitionUpstream(String upstream, List<Worker> workers, List<CellDefinition> out) {
 		if (workers.size() <= MAX_WORKERS) {
-			out.add(cell(upstream, upstream, workers));
+			out.add(newCell(upstream, upstream, workers));
 		}
 		else if (workers.stream().anyMatch((w) -> w.role() == WorkerRole.PLAIN)) {
-			dividePlain(upstream, workers, out);
+			partitionPlain(upstream, workers, out);
 		}
 		else {
 			io.shallotspur.routing.CellLayout.of(workers)
 				.cells()
-				.forEach((c) -> out.add(cell(c.id(), upstream, c.workers())));
+				.forEach((c) -> out.add(newCell(c.id(), upstream, c.workers())));
 		}
 	}
 
-	private static void dividePlain(String upstream, List<Worker> workers, List<CellDefinition> out) {
+	private static void partitionPlain(String upstream, List<Worker> workers, List<CellDefinition> out) {
 		int count = (workers.size() + MAX_WORKERS - 1) / MAX_WORKERS;
-		int room = (workers.size() + count - 1) / count;
+		int capacity = (workers.size() + count - 1) / count;
 		List<List<Worker>> cells = new ArrayList<>();
 		for (int i = 0; i < count; i++) {
 			cells.add(new ArrayList<>());
 		}
-		int[] taken = new int[count];
-		workers.stream().sorted(BY_ID).forEach((w) -> cells.get(preferred(w, taken, room)).add(w));
+		int[] sizes = new int[count];
+		workers.stream().sorted(BY_ID).forEach((w) -> cells.get(assign(w, sizes, capacity)).add(w));
 		for (int i = 0; i < count; i++) {
-			out.add(cell(upstream + "/" + i, upstream, cells.get(i)));
+			out.add(newCell(upstream + "/" + i, upstream, cells.get(i)));
 		}
 	}
 
-	private static int preferred(Worker w, int[] taken, int room) {
+	private static int assign(Worker w, int[] sizes, int capacity) {
 		int best = -1;
-		long high = 0;
+		long bestScore = 0;
 		long id = HASH.hashChars(w.id());
-		for (int i = 0; i < taken.length; i++) {
-			long s = HASH.hashLong(id + i);
-			if (taken[i] < room && (best < 0 || s > high)) {
+		for (int i = 0; i < sizes.length; i++) {
+			long score = HASH.hashLong(id + i);
+			if (sizes[i] < capacity && (best < 0 || score > bestScore)) {
 				best = i;
-				high = s;
+				bestScore = score;
 			}
 		}
-		taken[best]++;
+		sizes[best]++;
 		return best;
 	}
 
-	private static CellDefinition cell(String name, String upstream, List<Worker> workers) {
+	private static CellDefinition newCell(String name, String upstream, List<Worker> workers) {
 		return new CellDefinition(name, upstream, workers.stream().sorted(BY_ID).toList());
 	}
 
--- a/src/main/java/io/shallotspur/locate/package-info.java
+++ b/src/main/java/io/shallotspur/locate/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Which entry VM a caller should use: workers form cells, each cell has an owner among
- * the live entry VMs, and each customer uses some of the cells first.
+ * Selection of the entry VMs that a caller should use. Workers are partitioned into
+ * cells, each cell is owned by one of the live entry VMs, and each customer is assigned a
+ * preferred subset of the cells.
  */
 @NullMarked
 package io.shallotspur.locate;
--- a/src/test/java/io/shallotspur/locate/CellMapTests.java
+++ b/src/test/java/io/shallotspur/locate/CellMapTests.java
@@ -22,11 +22,11 @@
 class CellMapTests {
 
 	/**
-	 * A hall has many prefill workers and one decode worker. A cell without a decode
-	 * worker could not answer anything, and its callers would be refused.
+	 * Most prefill workers are in a hall that has no decode worker. A cell without a
+	 * decode worker could not serve any request, and all its callers would be refused.
 	 */
 	@Test
-	void eachCellOfAModelHasBothRoles() {
+	void eachModelCellHasBothRoles() {
 		List<Worker> l = new ArrayList<>(Workers.model("m", 2));
 		for (int i = 0; i < 30; i++) {
 			l.add(new Worker("m-extra-" + i, "m", "hall-x", WorkerRole.PREFILL, "", 0, 24_000, 800, 0, 0));
@@ -40,7 +40,7 @@
 	}
 
 	@Test
-	void aSmallUpstreamIsOneCellAndALargeOneIsDividedByHall() {
+	void smallUpstreamIsOneCellAndLargeOneIsPartitionedByHall() {
 		assertThat(CellPartitioner.partition(Workers.model("small", 16))).hasSize(1);
 		List<CellDefinition> cells = CellPartitioner.partition(Workers.model("large", 480));
 		assertThat(cells).hasSize(42);
@@ -53,18 +53,18 @@
 	}
 
 	@Test
-	void aWorkerLessMovesFewOthers() {
+	void removingAWorkerMovesFewOthers() {
 		List<Worker> all = Workers.model("large", 480);
-		Map<String, String> before = cellOf(CellPartitioner.partition(all));
+		Map<String, String> before = cellNamesByWorker(CellPartitioner.partition(all));
 		List<Worker> rest = new ArrayList<>(all);
 		rest.remove(100);
-		Map<String, String> after = cellOf(CellPartitioner.partition(rest));
+		Map<String, String> after = cellNamesByWorker(CellPartitioner.partition(rest));
 		assertThat(after.entrySet().stream().filter((e) -> !e.getValue().equals(before.get(e.getKey()))))
 			.hasSizeLessThan(40);
 	}
 
 	@Test
-	void onePrefixStaysInOneCellUnlessThatIsBusy() {
+	void prefixMapsToOneCellUnlessOverloaded() {
 		CellMap m = map(Workers.model("m", 480), Set.of(), view(20));
 		String first = m.selectCell("m", "c", 0.2, 42, (c) -> 0).orElseThrow().cell().name();
 		assertThat(m.selectCell("m", "c", 0.2, 42, (c) -> 0.5).orElseThrow().cell().name()).isEqualTo(first);
@@ -74,11 +74,11 @@
 	}
 
 	/**
-	 * Many callers ask at the same moment after a VM has died. If all of them got the
-	 * same first address they would fall on one VM and leave the others idle.
+	 * Many callers locate at the same time after a VM has crashed. If all of them got the
+	 * same first address, they would overload one VM and leave the others idle.
 	 */
 	@Test
-	void callersAreSpreadOverTheCustomersCellsByTheirFreeCapacity() {
+	void firstAddressesAreSpreadOverTheOwnersOfTheCustomersCells() {
 		CellMap m = map(Workers.model("m", 480), Set.of(), view(20));
 		Random random = new Random(1);
 		Map<String, Integer> firsts = new HashMap<>();
@@ -90,7 +90,7 @@
 	}
 
 	@Test
-	void leavingVmsAreNeverNamedAndSuspectsComeLast() {
+	void leavingVmsAreOmittedAndSuspectsComeLast() {
 		View v = view(4);
 		List<Member> live = new ArrayList<>(v.live());
 		Member gone = live.remove(0);
@@ -104,7 +104,7 @@
 	}
 
 	@Test
-	void aCellWithoutOpenWorkersTakesNothing() {
+	void cellWithOnlyDrainingWorkersIsNotSelected() {
 		List<Worker> workers = Workers.model("m", 4);
 		Set<String> leaving = new HashSet<>();
 		workers.forEach((w) -> leaving.add(w.id()));
@@ -115,7 +115,7 @@
 		return CellMap.of(CellPartitioner.partition(workers), leaving, view);
 	}
 
-	private static Map<String, String> cellOf(List<CellDefinition> cells) {
+	private static Map<String, String> cellNamesByWorker(List<CellDefinition> cells) {
 		Map<String, String> m = new HashMap<>();
 		cells.forEach((c) -> c.workers().forEach((w) -> m.put(w.id(), c.name())));
 		return m;
