--- a/src/main/java/io/shallotspur/route/Customer.java
+++ b/src/main/java/io/shallotspur/route/Customer.java
@@ -5,14 +5,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What the operator says of a customer. Immutable.
+ * The configuration of a customer. Immutable.
  *
- * @param name the customer's name, as workers are told it
- * @param keyHashes the hashes of the keys that its callers send
+ * @param name the customer's name, as it is sent to workers
+ * @param keyHashes the hashes of the keys with which its callers authenticate
  * ({@link io.shallotspur.contract.BearerKey#hash})
- * @param priority the rank of its requests, which goes before that of their route; 0 is
- * the highest; {@code null} if routes alone decide
- * @param quota how much it may ask for
+ * @param priority the priority of its requests, which overrides that of the route; 0 is
+ * the highest; {@code null} to use the priority of the route
+ * @param quota the rate limit of the customer
  */
 public record Customer(String name, Set<String> keyHashes, @Nullable Integer priority, Quota quota) {
 
@@ -24,9 +24,9 @@
 	}
 
 	/**
-	 * Returns the rank of its requests on a route.
+	 * Returns the priority of the customer's requests on a route.
 	 * @param route the route
-	 * @return the rank; 0 is the highest
+	 * @return the priority; 0 is the highest
 	 */
 	public int priorityOn(Route route) {
 		return (this.priority != null) ? this.priority : route.priority();
--- a/src/main/java/io/shallotspur/route/IngressLimits.java
+++ b/src/main/java/io/shallotspur/route/IngressLimits.java
@@ -1,17 +1,18 @@
 package io.shallotspur.route;
 
 /**
- * What a caller may send and how long it may take. Immutable.
+ * Size limits and timeouts for requests of callers. Immutable.
  *
- * @param maxHeaderBytes most bytes of a request line and its headers
- * @param maxBodyBytes most bytes of a body
- * @param headerTimeoutMs longest time for sending the headers, in milliseconds
- * @param idleTimeoutMs longest time a connection may be idle, in milliseconds
+ * @param maxHeaderBytes maximum size of the request line and the headers, in bytes
+ * @param maxBodyBytes maximum size of a request body, in bytes
+ * @param headerTimeoutMs maximum time in which the headers must arrive, in milliseconds
+ * @param idleTimeoutMs maximum idle time of a connection, in milliseconds
  */
 public record IngressLimits(int maxHeaderBytes, int maxBodyBytes, long headerTimeoutMs, long idleTimeoutMs) {
 
 	/**
-	 * Limits until a configuration is known: the bounds of common HTTP servers.
+	 * Limits that apply until a configuration is loaded. They match the usual defaults of
+	 * HTTP servers.
 	 */
 	public static final IngressLimits DEFAULT = new IngressLimits(16_384, 4 << 20, 3_000, 15_000);
 
--- a/src/main/java/io/shallotspur/route/Quota.java
+++ b/src/main/java/io/shallotspur/route/Quota.java
@@ -1,13 +1,13 @@
 package io.shallotspur.route;
 
 /**
- * How much a customer may ask for, over all VMs together. Immutable.
+ * The rate limit of a customer across all VMs together. Immutable.
  *
- * @param unit what is counted
- * @param unitsPerSecond what may be asked for in a second, in units; 0 for no limit
- * @param burst what may be asked for at once after a pause, in units
- * @param plainRequestTokens the tokens that a request without a prompt counts as, where tokens
- * are counted
+ * @param unit the unit that is limited
+ * @param unitsPerSecond sustained rate in units per second; 0 for no limit
+ * @param burst maximum burst after an idle period, in units
+ * @param plainRequestTokens number of tokens charged for a request without a prompt, if
+ * the unit is tokens
  */
 public record Quota(QuotaUnit unit, double unitsPerSecond, double burst, int plainRequestTokens) {
 
@@ -15,26 +15,26 @@
 	public static final Quota UNLIMITED = new Quota(QuotaUnit.REQUESTS, 0, 0, 0);
 
 	/**
-	 * Tells whether there is a limit.
-	 * @return {@code false} if everything may be asked for
+	 * Returns whether a limit applies.
+	 * @return {@code false} if the rate is unlimited
 	 */
 	public boolean isLimited() {
 		return this.unitsPerSecond > 0;
 	}
 
 	/**
-	 * Returns what a request without a prompt takes.
-	 * @return units
+	 * Returns the cost of a request without a prompt.
+	 * @return the cost in units
 	 */
 	public double plainRequestCost() {
 		return (this.unit == QuotaUnit.TOKENS) ? this.plainRequestTokens : 1;
 	}
 
 	/**
-	 * Returns what a model request takes.
-	 * @param promptTokens tokens of its prompt
-	 * @param maxOutputTokens the most tokens of its answer
-	 * @return units
+	 * Returns the cost of a model request.
+	 * @param promptTokens number of tokens in its prompt
+	 * @param maxOutputTokens maximum number of tokens in its answer
+	 * @return the cost in units
 	 */
 	public double cost(int promptTokens, int maxOutputTokens) {
 		return (this.unit == QuotaUnit.TOKENS) ? (double) promptTokens + maxOutputTokens : 1;
--- a/src/main/java/io/shallotspur/route/QuotaUnit.java
+++ b/src/main/java/io/shallotspur/route/QuotaUnit.java
@@ -1,17 +1,17 @@
 package io.shallotspur.route;
 
 /**
- * What a quota counts.
+ * The unit of a quota.
  */
 public enum QuotaUnit {
 
 	/**
-	 * Requests, each as one.
+	 * Requests; each counts as one.
 	 */
 	REQUESTS,
 
 	/**
-	 * Tokens: those of the prompt and the most of the answer.
+	 * Tokens: those of the prompt plus the maximum number in the answer.
 	 */
 	TOKENS
 
--- a/src/main/java/io/shallotspur/route/Route.java
+++ b/src/main/java/io/shallotspur/route/Route.java
@@ -3,26 +3,27 @@
 import java.util.List;
 
 /**
- * One route of the configuration. Immutable.
+ * A configured route. Immutable.
  *
- * @param name the operator's name for it
- * @param host the host it belongs to, in lower case
- * @param pathPrefix what the path begins with; begins and ends with a slash
- * @param kind what may be repeated
+ * @param name the configured name
+ * @param host the host that it matches, in lower case
+ * @param pathPrefix the path prefix that it matches; starts and ends with a slash
+ * @param kind whether requests may be executed again, and whether answers are streamed
  * @param targets the upstreams that serve it; at least one
- * @param timeoutMs the longest time a request may be kept waiting, in milliseconds
- * @param latencyTargetMs the latency objective in milliseconds (streams: up to the first event)
- * @param maxEventGapMs the longest pause between two events that is still on time, in
- * milliseconds; 0 for routes that are not streams
- * @param priority the rank; 0 is the highest
- * @param maxAttempts the most workers that one request may be sent to; at least 1
- * @param resumable whether a broken stream may go on at another worker
- * @param hasPromptMetadata whether its requests say what their prompt consists of
- * @param allowsAnonymous whether its callers need no key
+ * @param timeoutMs maximum time that a request may wait, in milliseconds
+ * @param latencyTargetMs latency objective in milliseconds; for streams, the time to the
+ * first event
+ * @param maxEventGapMs maximum time between two events of a stream that meets the
+ * objective, in milliseconds; 0 for routes that are not streams
+ * @param priority the priority; 0 is the highest
+ * @param maxAttempts maximum number of workers to which a request may be sent; at least 1
+ * @param resumable whether an interrupted stream may be resumed on another worker
+ * @param hasPromptMetadata whether its requests carry metadata that describes the prompt
+ * @param allowsAnonymous whether callers may send requests without a key
  */
-public record Route(String name, String host, String pathPrefix, RouteKind kind, List<RouteTarget> targets, long timeoutMs,
-		long latencyTargetMs, long maxEventGapMs, int priority, int maxAttempts, boolean resumable, boolean hasPromptMetadata,
-		boolean allowsAnonymous) {
+public record Route(String name, String host, String pathPrefix, RouteKind kind, List<RouteTarget> targets,
+		long timeoutMs, long latencyTargetMs, long maxEventGapMs, int priority, int maxAttempts, boolean resumable,
+		boolean hasPromptMetadata, boolean allowsAnonymous) {
 
 	/**
 	 * Creates a route; the list of targets is copied.
@@ -32,24 +33,25 @@
 	}
 
 	/**
-	 * Tells whether a request of this route may be run again after it may have run.
-	 * @return {@code true} if a second run does no harm
+	 * Returns whether a request on this route may be retried if it may already have been
+	 * executed.
+	 * @return {@code true} if a second execution is harmless
 	 */
 	public boolean repeatable() {
 		return this.kind == RouteKind.SAFE || (this.kind == RouteKind.STREAM && this.resumable);
 	}
 
 	/**
-	 * Chooses the upstream of one request by weight.
+	 * Selects the upstream of a request by weight.
 	 * @param draw a random number from 0 (inclusive) to 1 (exclusive)
 	 * @return the upstream's name
 	 */
 	public String chooseUpstream(double draw) {
-		double sum = this.targets.stream().mapToDouble(RouteTarget::weight).sum();
-		double left = draw * sum;
+		double totalWeight = this.targets.stream().mapToDouble(RouteTarget::weight).sum();
+		double remaining = draw * totalWeight;
 		for (RouteTarget t : this.targets) {
-			left -= t.weight();
-			if (left < 0) {
+			remaining -= t.weight();
+			if (remaining < 0) {
 				return t.upstream();
 			}
 		}
--- a/src/main/java/io/shallotspur/route/RouteKind.java
+++ b/src/main/java/io/shallotspur/route/RouteKind.java
@@ -1,22 +1,23 @@
 package io.shallotspur.route;
 
 /**
- * What may be repeated of the requests on a route.
+ * The execution semantics of the requests on a route.
  */
 public enum RouteKind {
 
 	/**
-	 * Idempotent: may run more than once.
+	 * Idempotent: may be executed more than once.
 	 */
 	SAFE,
 
 	/**
-	 * Runs at most once.
+	 * Executed at most once.
 	 */
 	UNSAFE,
 
 	/**
-	 * Answered by server-sent events; runs at most once unless the route allows resuming.
+	 * Answered with server-sent events; executed at most once unless the route is
+	 * resumable.
 	 */
 	STREAM
 
--- a/src/main/java/io/shallotspur/route/RouteTable.java
+++ b/src/main/java/io/shallotspur/route/RouteTable.java
@@ -10,28 +10,28 @@
 import java.util.Optional;
 
 /**
- * One version of the configuration. Immutable and thread-safe.
+ * A versioned snapshot of the routing configuration. Immutable and thread-safe.
  */
 public final class RouteTable {
 
 	private final long version;
 
-	private final Map<String, List<Route>> byHost;
+	private final Map<String, List<Route>> routesByHost;
 
 	private final Map<String, UpstreamSpec> upstreams;
 
 	private final IngressLimits limits;
 
-	private final Map<String, Customer> byKeyHash;
+	private final Map<String, Customer> customersByKeyHash;
 
 	private final boolean requiresKeys;
 
 	/**
 	 * Creates a table.
-	 * @param version its version; later ones are higher
+	 * @param version the version; newer versions are higher
 	 * @param routes the routes
 	 * @param upstreams the upstreams
-	 * @param limits what callers may send
+	 * @param limits the limits for callers
 	 */
 	public RouteTable(long version, List<Route> routes, List<UpstreamSpec> upstreams, IngressLimits limits) {
 		this(version, routes, upstreams, limits, List.of());
@@ -39,10 +39,10 @@
 
 	/**
 	 * Creates a table with customers.
-	 * @param version its version; later ones are higher
+	 * @param version the version; newer versions are higher
 	 * @param routes the routes
 	 * @param upstreams the upstreams
-	 * @param limits what callers may send
+	 * @param limits the limits for callers
 	 * @param customers the customers; if there are none, callers need no key
 	 */
 	public RouteTable(long version, List<Route> routes, List<UpstreamSpec> upstreams, IngressLimits limits,
@@ -52,20 +52,20 @@
 		this.requiresKeys = !customers.isEmpty();
 		Map<String, Customer> byKey = new HashMap<>();
 		customers.forEach((c) -> c.keyHashes().forEach((k) -> byKey.put(k, c)));
-		this.byKeyHash = Map.copyOf(byKey);
+		this.customersByKeyHash = Map.copyOf(byKey);
 		Map<String, UpstreamSpec> byName = new HashMap<>();
 		upstreams.forEach((u) -> byName.put(u.name(), u));
 		this.upstreams = Map.copyOf(byName);
-		this.byHost = index(routes);
+		this.routesByHost = indexByHost(routes);
 	}
 
-	private static Map<String, List<Route>> index(List<Route> routes) {
-		Map<String, List<Route>> m = new HashMap<>();
-		routes.forEach((r) -> m.computeIfAbsent(r.host(), (h) -> new ArrayList<>()).add(r));
-		// The longest prefix first, so that the first match is the right one.
+	private static Map<String, List<Route>> indexByHost(List<Route> routes) {
+		Map<String, List<Route>> index = new HashMap<>();
+		routes.forEach((r) -> index.computeIfAbsent(r.host(), (h) -> new ArrayList<>()).add(r));
+		// Sorted by descending prefix length, so that the first match is the longest.
 		Comparator<Route> longest = Comparator.comparingInt((Route r) -> -r.pathPrefix().length());
-		m.replaceAll((h, l) -> l.stream().sorted(longest).toList());
-		return Map.copyOf(m);
+		index.replaceAll((h, l) -> l.stream().sorted(longest).toList());
+		return Map.copyOf(index);
 	}
 
 	/**
@@ -78,14 +78,14 @@
 
 	/**
 	 * Returns all upstreams.
-	 * @return the upstreams, in no order
+	 * @return the upstreams, in no particular order
 	 */
 	public Collection<UpstreamSpec> upstreams() {
 		return this.upstreams.values();
 	}
 
 	/**
-	 * Returns what callers may send.
+	 * Returns the limits for callers.
 	 * @return the limits
 	 */
 	public IngressLimits limits() {
@@ -93,42 +93,42 @@
 	}
 
 	/**
-	 * Tells whether callers must show whose they are.
-	 * @return {@code false} if the operator keeps no customers
+	 * Returns whether callers must authenticate with a key.
+	 * @return {@code false} if no customers are configured
 	 */
 	public boolean requiresKeys() {
 		return this.requiresKeys;
 	}
 
 	/**
-	 * Finds the customer that a key belongs to.
+	 * Returns the customer to which a key belongs.
 	 * @param keyHash the hash of the key
 	 * @return the customer, or empty if no customer has the key
 	 */
 	public Optional<Customer> findCustomer(String keyHash) {
-		return Optional.ofNullable(this.byKeyHash.get(keyHash));
+		return Optional.ofNullable(this.customersByKeyHash.get(keyHash));
 	}
 
 	/**
 	 * Returns an upstream.
 	 * @param name its name
-	 * @return the upstream, or empty if the table has none of that name
+	 * @return the upstream, or empty if there is none with that name
 	 */
 	public Optional<UpstreamSpec> upstream(String name) {
 		return Optional.ofNullable(this.upstreams.get(name));
 	}
 
 	/**
-	 * Finds the route of a request: among those of the host the one with the longest
-	 * prefix that begins the path.
-	 * @param host the host as the caller named it, with or without a port
+	 * Finds the route of a request: the route of the host with the longest prefix that
+	 * matches the path.
+	 * @param host the host as sent by the caller, with or without a port
 	 * @param path the path, without a query
 	 * @return the route, or empty if none matches
 	 */
 	public Optional<Route> findRoute(String host, String path) {
 		int colon = host.lastIndexOf(':');
 		String h = ((colon > 0) ? host.substring(0, colon) : host).toLowerCase(Locale.ROOT);
-		for (Route r : this.byHost.getOrDefault(h, List.of())) {
+		for (Route r : this.routesByHost.getOrDefault(h, List.of())) {
 			if (path.startsWith(r.pathPrefix())) {
 				return Optional.of(r);
 			}
--- a/src/main/java/io/shallotspur/route/package-info.java
+++ b/src/main/java/io/shallotspur/route/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The operators' routes: which upstream serves a host and path, and on what terms. Plain
- * immutable data; adapters decode their own formats into it.
+ * The routing configuration: which upstream serves a host and path, and with which
+ * limits. Immutable data without a serialization format; adapters convert their own
+ * formats to it.
  */
 @NullMarked
 package io.shallotspur.route;
--- a/src/test/java/io/shallotspur/route/RouteTableTests.java
+++ b/src/test/java/io/shallotspur/route/RouteTableTests.java
@@ -24,25 +24,25 @@
 	}
 
 	@Test
-	void takesTheLongestPrefix() {
+	void selectsTheLongestMatchingPrefix() {
 		Assertions.assertThat(find("shop.example", "/a/b/c")).isEqualTo("long");
 		Assertions.assertThat(find("shop.example", "/a/c")).isEqualTo("short");
 		Assertions.assertThat(find("shop.example", "/a/b")).isEqualTo("short");
 	}
 
 	@Test
-	void ignoresPortAndCaseOfTheHost() {
+	void ignoresHostPortAndCase() {
 		Assertions.assertThat(find("Shop.Example:8080", "/z/")).isEqualTo("root");
 	}
 
 	@Test
-	void findsNothingForOtherHostsAndPaths() {
+	void returnsEmptyForUnknownHostsAndPaths() {
 		Assertions.assertThat(find("other.example", "/a/")).isEqualTo("none");
 		Assertions.assertThat(find("shop.example", "/ab/")).isEqualTo("none");
 	}
 
 	@Test
-	void splitsByWeight() {
+	void splitsTrafficByWeight() {
 		Route r = new Route("r", "h", "/", RouteKind.SAFE, List.of(new RouteTarget("a", 90), new RouteTarget("b", 10)),
 				1, 1, 0, 0, 1, false, false, false);
 		Assertions.assertThat(r.chooseUpstream(0.89)).isEqualTo("a");
