--- a/src/main/java/io/shallotspur/adapter/caller/CallerRoutes.java
+++ b/src/main/java/io/shallotspur/adapter/caller/CallerRoutes.java
@@ -181,7 +181,7 @@
 	}
 
 	private static RefusedException tooLong() {
-		return new RefusedException(Refusal.unknown(RefusalCode.BODY_TOO_LARGE,
+		return new RefusedException(Refusal.outcomeUnknown(RefusalCode.BODY_TOO_LARGE,
 				"The answer is too long to be given at once; ask for a stream."));
 	}
 
--- a/src/main/java/io/shallotspur/adapter/caller/CallerServer.java
+++ b/src/main/java/io/shallotspur/adapter/caller/CallerServer.java
@@ -142,7 +142,7 @@
 		if (r.code() == RefusalCode.BODY_TOO_LARGE) {
 			res.header(HttpHeaderNames.CONNECTION, "close");
 		}
-		return CallerRoutes.body(res, r.code().status(), Problem.MEDIA_TYPE, Problem.of(r).toJson());
+		return CallerRoutes.body(res, r.code().httpStatus(), Problem.MEDIA_TYPE, Problem.of(r).toJson());
 	}
 
 	/**
@@ -155,7 +155,7 @@
 			return r.getRefusal();
 		}
 		Logger.error(ex, "[caller] A request failed.");
-		return Refusal.unknown(RefusalCode.OUTCOME_UNKNOWN, "The request failed in the router.");
+		return Refusal.outcomeUnknown(RefusalCode.OUTCOME_UNKNOWN, "The request failed in the router.");
 	}
 
 }
--- a/src/main/java/io/shallotspur/adapter/caller/Problem.java
+++ b/src/main/java/io/shallotspur/adapter/caller/Problem.java
@@ -27,7 +27,7 @@
 	private static final ObjectWriter WRITER = new ObjectMapper().writer();
 
 	static Problem of(Refusal r) {
-		return new Problem(TYPE_PREFIX + r.code().code(), r.code().code(), r.code().status(), r.detail(),
+		return new Problem(TYPE_PREFIX + r.code().code(), r.code().code(), r.code().httpStatus(), r.detail(),
 				r.outcome().code(), r.retryAfterMs());
 	}
 
--- a/src/main/java/io/shallotspur/ledger/LedgerRefusals.java
+++ b/src/main/java/io/shallotspur/ledger/LedgerRefusals.java
@@ -23,7 +23,7 @@
 	 */
 	public static Refusal storeUnavailable(boolean maybeResend, long retryAfterMs) {
 		if (maybeResend) {
-			return Refusal.unknown(RefusalCode.STORE_UNAVAILABLE,
+			return Refusal.outcomeUnknown(RefusalCode.STORE_UNAVAILABLE,
 					"This call was not run. Whether an earlier one with this key was run cannot be read now; "
 							+ "send it again with the same key.");
 		}
@@ -37,7 +37,7 @@
 	 * @return the refusal
 	 */
 	public static Refusal unknown() {
-		return Refusal.unknown(RefusalCode.OUTCOME_UNKNOWN,
+		return Refusal.outcomeUnknown(RefusalCode.OUTCOME_UNKNOWN,
 				"A call with this key may have been run and its answer is lost. It is not run again.");
 	}
 
@@ -46,7 +46,7 @@
 	 * @return the refusal
 	 */
 	public static Refusal stillRunning() {
-		return Refusal.unknown(RefusalCode.DEADLINE_PASSED,
+		return Refusal.outcomeUnknown(RefusalCode.DEADLINE_PASSED,
 				"A call with this key is running and its answer is not there yet. It is not run again.");
 	}
 
@@ -55,7 +55,7 @@
 	 * @return the refusal
 	 */
 	public static Refusal answerGone() {
-		return Refusal.unknown(RefusalCode.OUTCOME_UNKNOWN,
+		return Refusal.outcomeUnknown(RefusalCode.OUTCOME_UNKNOWN,
 				"The request was run and answered; the answer is no longer kept. It is not run again.");
 	}
 
@@ -68,7 +68,7 @@
 		return switch (code) {
 			case KEY_REUSED ->
 				Refusal.notRun(code, "The key was used before with another body; this body was not run.", 0);
-			case KEY_EXPIRED -> Refusal.unknown(code,
+			case KEY_EXPIRED -> Refusal.outcomeUnknown(code,
 					"The key is older than the window in which keys are remembered; it may have been run.");
 			case MALFORMED_REQUEST ->
 				Refusal.notRun(code, "The time that the key carries lies in the future; the call was not run.", 0);
--- a/src/main/java/io/shallotspur/node/EntryVmBuilder.java
+++ b/src/main/java/io/shallotspur/node/EntryVmBuilder.java
@@ -280,7 +280,7 @@
 	}
 
 	private static ResumeTokens ownTokens() {
-		byte[] secret = new byte[ResumeKey.MIN_BYTES];
+		byte[] secret = new byte[ResumeKey.MIN_SECRET_BYTES];
 		new SecureRandom().nextBytes(secret);
 		return new ResumeTokens(List.of(new ResumeKey("own", secret)), TOKEN_TTL_MS);
 	}
--- a/src/main/java/io/shallotspur/node/ForwardReceiver.java
+++ b/src/main/java/io/shallotspur/node/ForwardReceiver.java
@@ -90,7 +90,7 @@
 			return ForwardRefused.of(r.getRefusal());
 		}
 		Logger.error(ex, "[forward] A forwarded request failed.");
-		return ForwardRefused.of(Refusal.unknown(RefusalCode.OUTCOME_UNKNOWN, "The request failed in the router."));
+		return ForwardRefused.of(Refusal.outcomeUnknown(RefusalCode.OUTCOME_UNKNOWN, "The request failed in the router."));
 	}
 
 	private long now() {
--- a/src/main/java/io/shallotspur/node/Forwarder.java
+++ b/src/main/java/io/shallotspur/node/Forwarder.java
@@ -153,7 +153,7 @@
 		}
 		Logger.warn("[forward] A request to {} broke: {}.", peer, ex.getMessage());
 		return new RefusedException(
-				Refusal.unknown(RefusalCode.OUTCOME_UNKNOWN, "The entry VM that ran the request was lost."));
+				Refusal.outcomeUnknown(RefusalCode.OUTCOME_UNKNOWN, "The entry VM that ran the request was lost."));
 	}
 
 	private long now() {
--- a/src/main/java/io/shallotspur/node/ModelService.java
+++ b/src/main/java/io/shallotspur/node/ModelService.java
@@ -25,7 +25,7 @@
 import io.shallotspur.outcome.Refusal;
 import io.shallotspur.outcome.RefusalCode;
 import io.shallotspur.port.PrefillResult;
-import io.shallotspur.resume.ResumeClaim;
+import io.shallotspur.resume.ResumeClaims;
 
 /**
  * Carries out what the scheduler of one cell decides. Thread-safe: the state is confined
@@ -269,7 +269,7 @@
 
 	private Flux<AnswerPart> decode(ModelAttempt a) {
 		ModelCall c = a.session().call();
-		ResumeClaim p = new ResumeClaim(c.request().customer(), a.decodeWorker(), a.streamId(), a.base(),
+		ResumeClaims p = new ResumeClaims(c.request().customer(), a.decodeWorker(), a.streamId(), a.base(),
 				c.contractRevision());
 		AnswerPart started = new AnswerPart.Started(this.ports.resume().issue(p, now()));
 		Flux<AnswerPart> tokens = this.ports.worker(a.decodeWorker())
--- a/src/main/java/io/shallotspur/node/OrphanSweep.java
+++ b/src/main/java/io/shallotspur/node/OrphanSweep.java
@@ -72,8 +72,8 @@
 	}
 
 	private boolean isOrphan(StreamId id, Predicate<StreamId> running, Incarnations incarnations) {
-		if (!id.node().equals(this.vm)) {
-			return !incarnations.isLive(id.node(), id.incarnation());
+		if (!id.vm().equals(this.vm)) {
+			return !incarnations.isLive(id.vm(), id.incarnation());
 		}
 		return id.incarnation() < this.incarnation || (id.incarnation() == this.incarnation && !running.test(id));
 	}
--- a/src/main/java/io/shallotspur/node/PlainCallService.java
+++ b/src/main/java/io/shallotspur/node/PlainCallService.java
@@ -199,7 +199,7 @@
 			}
 			catch (InputException ex) {
 				Logger.error("[node] {}", ex.getMessage());
-				s.fail(new RefusedException(Refusal.unknown(RefusalCode.OUTCOME_UNKNOWN, ex.getMessage())));
+				s.fail(new RefusedException(Refusal.outcomeUnknown(RefusalCode.OUTCOME_UNKNOWN, ex.getMessage())));
 			}
 		}
 		else if (decision instanceof IntentDecision.Refused d) {
@@ -260,7 +260,7 @@
 		}
 		boolean mayRun = s.dispatched() && !s.repeatable();
 		Refusal told = (mayRun && refusal.outcome() == Outcome.NOT_RUN)
-				? Refusal.unknown(RefusalCode.OUTCOME_UNKNOWN, refusal.detail()) : refusal;
+				? Refusal.outcomeUnknown(RefusalCode.OUTCOME_UNKNOWN, refusal.detail()) : refusal;
 		if (s.intentHeld() && !mayRun) {
 			settle(s, told.outcome() == Outcome.NOT_RUN);
 		}
--- a/src/main/java/io/shallotspur/node/StreamResumer.java
+++ b/src/main/java/io/shallotspur/node/StreamResumer.java
@@ -9,7 +9,7 @@
 import io.shallotspur.outcome.Refusal;
 import io.shallotspur.outcome.RefusalCode;
 import io.shallotspur.port.TokenChunk;
-import io.shallotspur.resume.ResumeClaim;
+import io.shallotspur.resume.ResumeClaims;
 import io.shallotspur.resume.ResumeException;
 
 /**
@@ -40,8 +40,8 @@
 	Flux<AnswerPart> resume(String customer, String token, long fromIndex) {
 		return Flux.defer(() -> {
 			try {
-				ResumeClaim c = this.ports.resume().verify(token, customer, this.ports.clock().getAsLong());
-				return read(c, token, Math.max(fromIndex, c.base()));
+				ResumeClaims c = this.ports.resume().verify(token, customer, this.ports.clock().getAsLong());
+				return read(c, token, Math.max(fromIndex, c.firstTokenIndex()));
 			}
 			catch (ResumeException ex) {
 				return Flux.error(RefusedException.notRun(RefusalCode.MALFORMED_REQUEST, ex.getMessage()));
@@ -49,27 +49,27 @@
 		});
 	}
 
-	private Flux<AnswerPart> read(ResumeClaim c, String token, long fromIndex) {
-		Flux<TokenChunk> chunks = this.ports.worker(c.worker())
-			.flatMapMany((w) -> this.ports.engine().decode(w, c.streamId(), fromIndex - c.base()));
-		Flux<AnswerPart> parts = chunks.<AnswerPart>map((t) -> new AnswerPart.Token(c.base() + t.index(), t.text()))
+	private Flux<AnswerPart> read(ResumeClaims c, String token, long fromIndex) {
+		Flux<TokenChunk> chunks = this.ports.worker(c.workerId())
+			.flatMapMany((w) -> this.ports.engine().decode(w, c.streamId(), fromIndex - c.firstTokenIndex()));
+		Flux<AnswerPart> parts = chunks.<AnswerPart>map((t) -> new AnswerPart.Token(c.firstTokenIndex() + t.index(), t.text()))
 			.startWith(new AnswerPart.Started(token))
 			.onErrorMap((ex) -> lost(c, ex))
-			.doOnCancel(() -> this.canceller.cancel(c.worker(), c.streamId()));
+			.doOnCancel(() -> this.canceller.cancel(c.workerId(), c.streamId()));
 		return Flux.using(() -> adopt(c), (d) -> parts, Disposable::dispose);
 	}
 
-	private Disposable adopt(ResumeClaim c) {
+	private Disposable adopt(ResumeClaims c) {
 		Logger.info("[node] Stream {} is resumed.", c.streamId());
 		return Flux.interval(Duration.ZERO, Duration.ofMillis(StreamAdoptions.REPEAT_MS))
 			.onBackpressureDrop()
-			.subscribe((i) -> this.adoptions.tell(c.worker(), c.streamId()));
+			.subscribe((i) -> this.adoptions.tell(c.workerId(), c.streamId()));
 	}
 
-	private static RefusedException lost(ResumeClaim c, Throwable ex) {
+	private static RefusedException lost(ResumeClaims c, Throwable ex) {
 		Logger.warn("[node] Stream {} cannot be resumed: {}.", c.streamId(), ex.getMessage());
 		return new RefusedException(
-				Refusal.unknown(RefusalCode.WORKER_LOST, "The rest of the answer is lost; send the request again."));
+				Refusal.outcomeUnknown(RefusalCode.WORKER_LOST, "The rest of the answer is lost; send the request again."));
 	}
 
 }
--- a/src/main/java/io/shallotspur/node/forward/ForwardRefused.java
+++ b/src/main/java/io/shallotspur/node/forward/ForwardRefused.java
@@ -35,7 +35,7 @@
 					this.retryAfterMs);
 		}
 		catch (IllegalArgumentException ex) {
-			return Refusal.unknown(RefusalCode.OUTCOME_UNKNOWN, this.detail);
+			return Refusal.outcomeUnknown(RefusalCode.OUTCOME_UNKNOWN, this.detail);
 		}
 	}
 
--- a/src/main/java/io/shallotspur/node/order/OrderService.java
+++ b/src/main/java/io/shallotspur/node/order/OrderService.java
@@ -79,10 +79,10 @@
 		boolean checks = this.settings.fencingUpstreams().contains(worker.upstream());
 		return leased(cell, worker).flatMap((g) -> {
 			OrderPermit p = g.permit(checks, now());
-			if (p instanceof OrderPermit.Wait w) {
-				return pause(w.until() - now()).then(give(cell, worker, order, tries));
+			if (p instanceof OrderPermit.Deferred w) {
+				return pause(w.retryAt() - now()).then(give(cell, worker, order, tries));
 			}
-			if (p instanceof OrderPermit.Give give) {
+			if (p instanceof OrderPermit.Granted give) {
 				EngineOrder o = order.apply(give.fencingToken());
 				return send(worker, o, give).then(verify(cell, worker, order, o, checks, tries));
 			}
@@ -90,11 +90,11 @@
 		});
 	}
 
-	private Mono<Void> send(Worker worker, EngineOrder o, OrderPermit.Give p) {
+	private Mono<Void> send(Worker worker, EngineOrder o, OrderPermit.Granted p) {
 		return Mono.defer(() -> {
 			// Read again at the last moment: a node that was paused since it was
 			// permitted must not send under a lease that has ended meanwhile.
-			long left = p.endBy() - now();
+			long left = p.deadline() - now();
 			return (left > 0) ? this.engine.order(worker, o).timeout(Duration.ofMillis(left), this.scheduler)
 					: Mono.error(new OrderException(OrderFault.NOT_HOLDER, worker.id(), null));
 		}).onErrorResume((ex) -> {
@@ -111,7 +111,7 @@
 			boolean checks, int tries) {
 		Mono<Boolean> now = inForce(worker, o);
 		Mono<Boolean> settled = checks ? now : now
-			.flatMap((ok) -> ok ? pause(this.settings.limits().marginMs()).then(inForce(worker, o)) : Mono.just(false));
+			.flatMap((ok) -> ok ? pause(this.settings.limits().lateOrderMarginMs()).then(inForce(worker, o)) : Mono.just(false));
 		return settled.flatMap((ok) -> {
 			if (ok) {
 				return Mono.empty();
@@ -125,7 +125,7 @@
 
 	private Mono<Boolean> inForce(Worker worker, EngineOrder o) {
 		return Mono.defer(() -> this.readBack.isInForce(worker, o))
-			.timeout(Duration.ofMillis(this.settings.limits().orderMs()), this.scheduler)
+			.timeout(Duration.ofMillis(this.settings.limits().orderTimeoutMs()), this.scheduler)
 			.onErrorReturn(false)
 			.defaultIfEmpty(false);
 	}
@@ -133,19 +133,19 @@
 	private Mono<OrderGate> leased(String cell, Worker worker) {
 		return Mono.defer(() -> {
 			OrderGate g = gate(cell);
-			if (!g.wantsRenewal(now())) {
+			if (!g.needsRenewal(now())) {
 				return Mono.just(g);
 			}
 			long askedAt = now();
-			return this.store.lease("orders/" + cell, this.self, this.settings.limits().leaseMs())
-				.timeout(Duration.ofMillis(this.settings.limits().orderMs()), this.scheduler)
+			return this.store.lease("orders/" + cell, this.self, this.settings.limits().leaseTtlMs())
+				.timeout(Duration.ofMillis(this.settings.limits().orderTimeoutMs()), this.scheduler)
 				.map((l) -> this.gates.merge(cell, gate(cell).withLease(l, this.self, askedAt, now()), (a, b) -> b))
 				.onErrorMap((ex) -> new OrderException(OrderFault.NO_LEASE, worker.id(), ex));
 		});
 	}
 
 	private OrderGate gate(String cell) {
-		return this.gates.computeIfAbsent(cell, (c) -> OrderGate.closed(this.settings.limits()));
+		return this.gates.computeIfAbsent(cell, (c) -> OrderGate.withoutLease(this.settings.limits()));
 	}
 
 	private Mono<Long> pause(long ms) {
--- a/src/main/java/io/shallotspur/order/OrderGate.java
+++ b/src/main/java/io/shallotspur/order/OrderGate.java
@@ -14,7 +14,7 @@
  */
 public final class OrderGate {
 
-	private final OrderLimits limits;
+	private final OrderLeaseSettings limits;
 
 	private final boolean held;
 
@@ -24,7 +24,7 @@
 
 	private final long endsAt;
 
-	private OrderGate(OrderLimits limits, boolean held, long token, long heldSince, long endsAt) {
+	private OrderGate(OrderLeaseSettings limits, boolean held, long token, long heldSince, long endsAt) {
 		this.limits = limits;
 		this.held = held;
 		this.token = token;
@@ -37,7 +37,7 @@
 	 * @param limits the times
 	 * @return the gate
 	 */
-	public static OrderGate closed(OrderLimits limits) {
+	public static OrderGate withoutLease(OrderLeaseSettings limits) {
 		return new OrderGate(limits, false, 0, 0, Long.MIN_VALUE);
 	}
 
@@ -52,12 +52,12 @@
 	 */
 	public OrderGate withLease(StoreLease lease, String self, long askedAt, long now) {
 		if (!lease.holder().equals(self)) {
-			return closed(this.limits);
+			return withoutLease(this.limits);
 		}
 		boolean same = this.held && this.token == lease.fencingToken();
 		// The store counts from some moment after the question was sent; counting from
 		// before it, this node never believes in a lease that has ended.
-		long ends = askedAt + lease.remainingMs() - this.limits.driftMs();
+		long ends = askedAt + lease.remainingMs() - this.limits.maxClockDriftMs();
 		return new OrderGate(this.limits, true, lease.fencingToken(), same ? this.heldSince : now, ends);
 	}
 
@@ -68,14 +68,14 @@
 	 * @return the permit
 	 */
 	public OrderPermit permit(boolean checksFencing, long now) {
-		if (!this.held || now + this.limits.orderMs() > this.endsAt) {
-			return new OrderPermit.NotHolder();
+		if (!this.held || now + this.limits.orderTimeoutMs() > this.endsAt) {
+			return new OrderPermit.LeaseNotHeld();
 		}
-		long open = this.heldSince + this.limits.marginMs();
+		long open = this.heldSince + this.limits.lateOrderMarginMs();
 		if (!checksFencing && now < open) {
-			return new OrderPermit.Wait(open);
+			return new OrderPermit.Deferred(open);
 		}
-		return new OrderPermit.Give(this.token, now + this.limits.orderMs());
+		return new OrderPermit.Granted(this.token, now + this.limits.orderTimeoutMs());
 	}
 
 	/**
@@ -83,8 +83,8 @@
 	 * @param now the present time in milliseconds
 	 * @return {@code true} if less than half of it is left
 	 */
-	public boolean wantsRenewal(long now) {
-		return !this.held || now + this.limits.leaseMs() / 2 >= this.endsAt;
+	public boolean needsRenewal(long now) {
+		return !this.held || now + this.limits.leaseTtlMs() / 2 >= this.endsAt;
 	}
 
 }
--- a/src/main/java/io/shallotspur/outcome/Refusal.java
+++ b/src/main/java/io/shallotspur/outcome/Refusal.java
@@ -28,7 +28,7 @@
 	 * @param detail a sentence for the caller
 	 * @return the refusal
 	 */
-	public static Refusal unknown(RefusalCode code, String detail) {
+	public static Refusal outcomeUnknown(RefusalCode code, String detail) {
 		return new Refusal(code, Outcome.OUTCOME_UNKNOWN, detail, 0);
 	}
 
--- a/src/main/java/io/shallotspur/outcome/RefusalCode.java
+++ b/src/main/java/io/shallotspur/outcome/RefusalCode.java
@@ -107,11 +107,11 @@
 
 	private final String code;
 
-	private final int status;
+	private final int httpStatus;
 
 	RefusalCode(String code, int status) {
 		this.code = code;
-		this.status = status;
+		this.httpStatus = status;
 	}
 
 	/**
@@ -126,8 +126,8 @@
 	 * Returns the HTTP status that goes with this refusal.
 	 * @return the status code
 	 */
-	public int status() {
-		return this.status;
+	public int httpStatus() {
+		return this.httpStatus;
 	}
 
 }
--- a/src/main/java/io/shallotspur/plain/StdPlainScheduler.java
+++ b/src/main/java/io/shallotspur/plain/StdPlainScheduler.java
@@ -279,7 +279,7 @@
 
 	private void refuse(CallState c, RefusalCode code, String detail) {
 		end(c);
-		Refusal refusal = c.mayHaveRun ? Refusal.unknown(code, detail) : Refusal.notRun(code, detail, RETRY_AFTER_MS);
+		Refusal refusal = c.mayHaveRun ? Refusal.outcomeUnknown(code, detail) : Refusal.notRun(code, detail, RETRY_AFTER_MS);
 		this.out.accept(new PlainAction.Refuse(c.request.id(), refusal));
 	}
 
--- a/src/main/java/io/shallotspur/replay/BaselineCellScheduler.java
+++ b/src/main/java/io/shallotspur/replay/BaselineCellScheduler.java
@@ -207,7 +207,7 @@
 		free(job, out);
 		if (ran && !job.request.repeatable()) {
 			out.accept(new CellAction.Refuse(job.request.id(),
-					Refusal.unknown(RefusalCode.OUTCOME_UNKNOWN, "The worker was lost.")));
+					Refusal.outcomeUnknown(RefusalCode.OUTCOME_UNKNOWN, "The worker was lost.")));
 			remove(job);
 		}
 		else if (++job.tries >= MAX_TRIES) {
@@ -230,7 +230,7 @@
 	}
 
 	private Refusal ended(Job job, RefusalCode code) {
-		return (job.sent > 0) ? Refusal.unknown(code, "A part of the answer was sent.")
+		return (job.sent > 0) ? Refusal.outcomeUnknown(code, "A part of the answer was sent.")
 				: Refusal.notRun(code, "No answer was begun.", 0);
 	}
 
--- a/src/main/java/io/shallotspur/replay/BaselinePlainScheduler.java
+++ b/src/main/java/io/shallotspur/replay/BaselinePlainScheduler.java
@@ -114,7 +114,7 @@
 			return;
 		}
 		Refusal r = notRun ? Refusal.notRun(RefusalCode.WORKER_LOST, "No worker took the call.", 0)
-				: Refusal.unknown(RefusalCode.OUTCOME_UNKNOWN, "The worker was lost.");
+				: Refusal.outcomeUnknown(RefusalCode.OUTCOME_UNKNOWN, "The worker was lost.");
 		out.accept(new PlainAction.Refuse(job.request.id(), r));
 		finish(job);
 	}
@@ -123,7 +123,7 @@
 		Job job = this.byDeadline.peek();
 		while (job != null && job.request.deadlineAt() < now) {
 			Refusal r = (job.worker != null)
-					? Refusal.unknown(RefusalCode.DEADLINE_PASSED, "The call was sent and not answered in time.")
+					? Refusal.outcomeUnknown(RefusalCode.DEADLINE_PASSED, "The call was sent and not answered in time.")
 					: Refusal.notRun(RefusalCode.DEADLINE_PASSED, "No worker was there.", 0);
 			end(job, out);
 			out.accept(new PlainAction.Refuse(job.request.id(), r));
--- a/src/main/java/io/shallotspur/resume/ResumeKey.java
+++ b/src/main/java/io/shallotspur/resume/ResumeKey.java
@@ -11,10 +11,10 @@
 	/**
 	 * The fewest bytes of a secret.
 	 */
-	public static final int MIN_BYTES = 32;
+	public static final int MIN_SECRET_BYTES = 32;
 
 	public ResumeKey {
-		if (secret.length < MIN_BYTES) {
+		if (secret.length < MIN_SECRET_BYTES) {
 			throw new IllegalArgumentException("the secret of resume key " + id + " is shorter than 32 bytes");
 		}
 		secret = secret.clone();
--- a/src/main/java/io/shallotspur/resume/ResumeTokens.java
+++ b/src/main/java/io/shallotspur/resume/ResumeTokens.java
@@ -56,11 +56,11 @@
 	 * @param now the present time in milliseconds
 	 * @return the token, made of characters that fit in a header
 	 */
-	public String issue(ResumeClaim claim, long now) {
+	public String issue(ResumeClaims claim, long now) {
 		try (MessageBufferPacker p = MessagePack.newDefaultBufferPacker()) {
 			p.packString(this.signer.id()).packLong(now + this.ttlMs);
-			p.packString(claim.customer()).packString(claim.worker()).packString(claim.streamId());
-			p.packLong(claim.base()).packLong(claim.contractRevision());
+			p.packString(claim.customer()).packString(claim.workerId()).packString(claim.streamId());
+			p.packLong(claim.firstTokenIndex()).packLong(claim.contractRevision());
 			byte[] body = p.toByteArray();
 			Base64.Encoder b64 = Base64.getUrlEncoder().withoutPadding();
 			return b64.encodeToString(body) + "." + b64.encodeToString(sign(this.signer, body));
@@ -78,7 +78,7 @@
 	 * @return what the token says
 	 * @throws ResumeException if it is refused
 	 */
-	public ResumeClaim verify(String token, String customer, long now) throws ResumeException {
+	public ResumeClaims verify(String token, String customer, long now) throws ResumeException {
 		int dot = token.indexOf('.');
 		if (dot <= 0 || token.length() > MAX_LENGTH) {
 			throw new ResumeException(ResumeFault.MALFORMED);
@@ -95,7 +95,7 @@
 				throw new ResumeException(ResumeFault.FORGED);
 			}
 			long expiresAt = u.unpackLong();
-			ResumeClaim c = new ResumeClaim(u.unpackString(), u.unpackString(), u.unpackString(), u.unpackLong(),
+			ResumeClaims c = new ResumeClaims(u.unpackString(), u.unpackString(), u.unpackString(), u.unpackLong(),
 					u.unpackLong());
 			return check(c, customer, expiresAt, now);
 		}
@@ -104,7 +104,7 @@
 		}
 	}
 
-	private static ResumeClaim check(ResumeClaim c, String customer, long expiresAt, long now) throws ResumeException {
+	private static ResumeClaims check(ResumeClaims c, String customer, long expiresAt, long now) throws ResumeException {
 		if (now >= expiresAt) {
 			throw new ResumeException(ResumeFault.EXPIRED);
 		}
--- a/src/main/java/io/shallotspur/resume/StreamId.java
+++ b/src/main/java/io/shallotspur/resume/StreamId.java
@@ -6,11 +6,11 @@
  * Names a stream at the engines. It says which incarnation of which node started it, so
  * that the streams of a dead one can be found and cancelled. Immutable.
  *
- * @param node the node
+ * @param vm the node
  * @param incarnation rises each time the node starts
  * @param sequence unique within the incarnation
  */
-public record StreamId(String node, long incarnation, long sequence) {
+public record StreamId(String vm, long incarnation, long sequence) {
 
 	private static final char SEPARATOR = '~';
 
@@ -37,7 +37,7 @@
 
 	@Override
 	public String toString() {
-		return this.node + SEPARATOR + this.incarnation + SEPARATOR + this.sequence;
+		return this.vm + SEPARATOR + this.incarnation + SEPARATOR + this.sequence;
 	}
 
 }
--- a/src/test/java/io/shallotspur/node/FakeLedger.java
+++ b/src/test/java/io/shallotspur/node/FakeLedger.java
@@ -39,7 +39,7 @@
 			return Mono.just(new IntentDecision.Answered(a));
 		}
 		if (this.intents.putIfAbsent(key, true) != null) {
-			return Mono.just(new IntentDecision.Refused(Refusal.unknown(RefusalCode.OUTCOME_UNKNOWN, "In doubt.")));
+			return Mono.just(new IntentDecision.Refused(Refusal.outcomeUnknown(RefusalCode.OUTCOME_UNKNOWN, "In doubt.")));
 		}
 		return Mono.just(new IntentDecision.Run());
 	}
--- a/src/test/java/io/shallotspur/node/RecordingHandlerTests.java
+++ b/src/test/java/io/shallotspur/node/RecordingHandlerTests.java
@@ -47,7 +47,7 @@
 	@Test
 	void refusalsAndUnknownOutcomesAreToldApart() {
 		fail(Refusal.notRun(RefusalCode.QUEUE_FULL, "Full.", 0));
-		fail(Refusal.unknown(RefusalCode.WORKER_LOST, "Lost."));
+		fail(Refusal.outcomeUnknown(RefusalCode.WORKER_LOST, "Lost."));
 		assertThat(this.ends).extracting(RequestEnd::verdict).containsExactly(Verdict.REFUSED, Verdict.UNKNOWN);
 	}
 
--- a/src/test/java/io/shallotspur/node/order/OrderServiceTests.java
+++ b/src/test/java/io/shallotspur/node/order/OrderServiceTests.java
@@ -20,7 +20,7 @@
 import io.shallotspur.order.OrderException;
 import io.shallotspur.order.OrderFault;
 import io.shallotspur.order.OrderGate;
-import io.shallotspur.order.OrderLimits;
+import io.shallotspur.order.OrderLeaseSettings;
 import io.shallotspur.order.OrderPermit;
 import io.shallotspur.port.Engine;
 import io.shallotspur.port.EngineOrder;
@@ -105,19 +105,19 @@
 	void gateCountsTheLeaseFromTheQuestion() {
 		// The store's answer takes four seconds. Counted from the answer, this node would
 		// believe in its lease after another one got it.
-		OrderLimits l = OrderLimits.DEFAULT;
-		OrderGate g = OrderGate.closed(l).withLease(new StoreLease("c", "a", 5, 15_000), "a", 0, 4_000);
-		assertThat(g.permit(true, 9_500)).isInstanceOf(OrderPermit.Give.class);
-		assertThat(g.permit(true, 9_501)).isInstanceOf(OrderPermit.NotHolder.class);
-		assertThat(g.permit(false, 9_000)).isEqualTo(new OrderPermit.Wait(14_000));
+		OrderLeaseSettings l = OrderLeaseSettings.DEFAULT;
+		OrderGate g = OrderGate.withoutLease(l).withLease(new StoreLease("c", "a", 5, 15_000), "a", 0, 4_000);
+		assertThat(g.permit(true, 9_500)).isInstanceOf(OrderPermit.Granted.class);
+		assertThat(g.permit(true, 9_501)).isInstanceOf(OrderPermit.LeaseNotHeld.class);
+		assertThat(g.permit(false, 9_000)).isEqualTo(new OrderPermit.Deferred(14_000));
 		OrderGate renewed = g.withLease(new StoreLease("c", "a", 5, 15_000), "a", 9_000, 9_001);
-		assertThat(renewed.permit(false, 14_000)).isEqualTo(new OrderPermit.Give(5, 19_000));
+		assertThat(renewed.permit(false, 14_000)).isEqualTo(new OrderPermit.Granted(5, 19_000));
 		assertThat(renewed.withLease(new StoreLease("c", "b", 6, 15_000), "a", 9_500, 9_501).permit(true, 9_600))
-			.isInstanceOf(OrderPermit.NotHolder.class);
+			.isInstanceOf(OrderPermit.LeaseNotHeld.class);
 	}
 
 	private OrderService service(String node, Set<String> fencing) {
-		OrderSettings s = new OrderSettings(OrderLimits.DEFAULT, fencing, 5, 500);
+		OrderSettings s = new OrderSettings(OrderLeaseSettings.DEFAULT, fencing, 5, 500);
 		return new OrderService(node, s, this.store, this.engine,
 				(w, o) -> Mono.fromSupplier(() -> ((EngineOrder.Load) o).model().equals(this.engine.model)), this.time);
 	}
--- a/src/test/java/io/shallotspur/resume/ResumeTokensTests.java
+++ b/src/test/java/io/shallotspur/resume/ResumeTokensTests.java
@@ -16,7 +16,7 @@
 
 	private static final ResumeKey NEW = new ResumeKey("2026-12", key(2));
 
-	private static final ResumeClaim CLAIM = new ResumeClaim("lonestar", "draft-3",
+	private static final ResumeClaims CLAIM = new ResumeClaims("lonestar", "draft-3",
 			new StreamId("10.0.0.1:7100", 3, 99).toString(), 40, 7);
 
 	private final ResumeTokens tokens = new ResumeTokens(List.of(OLD), 60_000);
@@ -71,7 +71,7 @@
 	}
 
 	private static byte[] key(int fill) {
-		byte[] b = new byte[ResumeKey.MIN_BYTES];
+		byte[] b = new byte[ResumeKey.MIN_SECRET_BYTES];
 		Arrays.fill(b, (byte) fill);
 		return b;
 	}
