--- a/src/main/java/io/shallotspur/cell/JobLifecycle.java
+++ b/src/main/java/io/shallotspur/cell/JobLifecycle.java
@@ -178,7 +178,8 @@
 	// otherwise.
 	void refuse(Job job, RefusalCode code, String detail, long retryAfterMs, long now) {
 		boolean mayHaveRun = job.decodeStarted;
-		refuse(job, mayHaveRun ? Refusal.outcomeUnknown(code, detail) : Refusal.notRun(code, detail, retryAfterMs), now);
+		refuse(job, mayHaveRun ? Refusal.outcomeUnknown(code, detail) : Refusal.notRun(code, detail, retryAfterMs),
+				now);
 	}
 
 	// Queues a request again after a failed attempt, or refuses it if it may not be
