--- a/src/main/java/io/shallotspur/demo/CapacityState.java
+++ b/src/main/java/io/shallotspur/demo/CapacityState.java
@@ -15,7 +15,7 @@
 import io.shallotspur.ledger.IntentKey;
 import io.shallotspur.ledger.KeyDigest;
 import io.shallotspur.ledger.LedgerLimits;
-import io.shallotspur.ledger.MemoryLedger;
+import io.shallotspur.ledger.InMemoryLedger;
 import io.shallotspur.ledger.Shard;
 import io.shallotspur.ledger.ShardCodec;
 import io.shallotspur.locate.CellDefinition;
@@ -282,15 +282,15 @@
 
 	private static final class KeyStep {
 
-		private MemoryLedger ledger = new MemoryLedger();
+		private InMemoryLedger ledger = new InMemoryLedger();
 
 		void run(int i) {
 			if (i == 0) {
-				this.ledger = new MemoryLedger();
+				this.ledger = new InMemoryLedger();
 			}
 			IntentKey k = new IntentKey("c" + i, "key-" + i);
 			this.ledger.begin(k, i, 1, 1000).subscribe();
-			this.ledger.answered(k, new byte[64], 2).subscribe();
+			this.ledger.recordAnswer(k, new byte[64], 2).subscribe();
 		}
 
 	}
--- a/src/main/java/io/shallotspur/demo/LedgerLoad.java
+++ b/src/main/java/io/shallotspur/demo/LedgerLoad.java
@@ -113,7 +113,7 @@
 			if (d instanceof IntentDecision.Run) {
 				this.granted++;
 				this.added.recordValue(this.time.now() - at);
-				this.time.after(RUN_MS, () -> s.answered(key, ANSWER, this.time.now()).subscribe());
+				this.time.after(RUN_MS, () -> s.recordAnswer(key, ANSWER, this.time.now()).subscribe());
 			}
 			else {
 				this.refused++;
--- a/src/main/java/io/shallotspur/demo/LedgerMeasure.java
+++ b/src/main/java/io/shallotspur/demo/LedgerMeasure.java
@@ -77,7 +77,7 @@
 	}
 
 	private static void window(LedgerMeasureOptions o, StringBuilder page) {
-		LedgerLimits limits = LedgerLimits.DEFAULT.withSegments(LedgerLimits.DEFAULT.segmentBytes(),
+		LedgerLimits limits = LedgerLimits.DEFAULT.withSegments(LedgerLimits.DEFAULT.sealThresholdBytes(),
 				LedgerLimits.DEFAULT.timedSlots(), WINDOW_MS);
 		LedgerLoad load = new LedgerLoad(LedgerSettings.DEFAULT.withLimits(limits), o.getSeed());
 		LedgerLoad.Result r = load.run(WARM_RATE, WINDOW_SECONDS);
--- a/src/main/java/io/shallotspur/demo/RelayVm.java
+++ b/src/main/java/io/shallotspur/demo/RelayVm.java
@@ -20,7 +20,7 @@
 import io.shallotspur.exc.SettingsException;
 import io.shallotspur.fleet.Worker;
 import io.shallotspur.fleet.WorkerRole;
-import io.shallotspur.ledger.MemoryLedger;
+import io.shallotspur.ledger.InMemoryLedger;
 import io.shallotspur.node.CellAssignment;
 import io.shallotspur.node.EntryVm;
 import io.shallotspur.node.Location;
@@ -64,7 +64,7 @@
 		this.vm = EntryVm.builder("relay", 1)
 			.engine(this.engine)
 			.plainService((w, call) -> Mono.empty())
-			.ledger(new MemoryLedger())
+			.ledger(new InMemoryLedger())
 			.peers(new TcpPeerNetwork(peers, PeerCodec.builder().build()))
 			.ownership((upstream, customer, prefix) -> new Owner.Self(CELL))
 			.locator((customer, className, now) -> new Location(List.of(), 0))
--- a/src/main/java/io/shallotspur/ledger/AttemptFilter.java
+++ b/src/main/java/io/shallotspur/ledger/AttemptFilter.java
@@ -14,12 +14,12 @@
 
 	private long attempt = NONE;
 
-	private long next;
+	private long nextIndex;
 
 	private boolean ended;
 
 	/**
-	 * Makes an attempt the current one. It has to go on at {@link #next()}.
+	 * Makes an attempt the current one. It has to go on at {@link #nextIndex()}.
 	 * @param attempt the attempt, at least 0
 	 */
 	public void start(long attempt) {
@@ -33,10 +33,10 @@
 	 * @return whether it is to be passed on
 	 */
 	public boolean accept(long attempt, long index) {
-		if (this.ended || attempt != this.attempt || index != this.next) {
+		if (this.ended || attempt != this.attempt || index != this.nextIndex) {
 			return false;
 		}
-		this.next++;
+		this.nextIndex++;
 		return true;
 	}
 
@@ -47,7 +47,7 @@
 	 * @return whether the answer is whole and the end is to be passed on
 	 */
 	public boolean end(long attempt, long pieces) {
-		if (this.ended || attempt != this.attempt || pieces != this.next) {
+		if (this.ended || attempt != this.attempt || pieces != this.nextIndex) {
 			return false;
 		}
 		this.ended = true;
@@ -65,8 +65,8 @@
 	 * Returns the index of the piece that is wanted next.
 	 * @return the index
 	 */
-	public long next() {
-		return this.next;
+	public long nextIndex() {
+		return this.nextIndex;
 	}
 
 }
--- a/src/main/java/io/shallotspur/ledger/AttemptEnd.java
+++ b/src/main/java/io/shallotspur/ledger/AttemptResult.java
@@ -7,6 +7,6 @@
  * @param attempt the attempt
  * @param state its last state; never {@link EntryState.InFlight}
  */
-public record AttemptEnd(KeyDigest key, Attempt attempt, EntryState state) {
+public record AttemptResult(KeyDigest key, Attempt attempt, EntryState state) {
 
 }
--- a/src/main/java/io/shallotspur/ledger/Verdict.java
+++ b/src/main/java/io/shallotspur/ledger/ClaimResult.java
@@ -5,19 +5,19 @@
 /**
  * What a shard says to an intent. Immutable.
  */
-public sealed interface Verdict {
+public sealed interface ClaimResult {
 
 	/**
 	 * The key is free; the intent may be committed, and only then be run.
 	 */
-	record Free() implements Verdict {
+	record Unclaimed() implements ClaimResult {
 
 	}
 
 	/**
 	 * The intent is committed for this very attempt, which may dispatch it once.
 	 */
-	record Granted() implements Verdict {
+	record Granted() implements ClaimResult {
 
 	}
 
@@ -26,7 +26,7 @@
 	 *
 	 * @param entry what is known of it
 	 */
-	record Taken(LedgerEntry entry) implements Verdict {
+	record AlreadyClaimed(LedgerEntry entry) implements ClaimResult {
 
 	}
 
@@ -35,7 +35,7 @@
 	 *
 	 * @param code why
 	 */
-	record Denied(RefusalCode code) implements Verdict {
+	record Denied(RefusalCode code) implements ClaimResult {
 
 	}
 
--- a/src/main/java/io/shallotspur/ledger/EntryState.java
+++ b/src/main/java/io/shallotspur/ledger/EntryState.java
@@ -14,7 +14,7 @@
 	 * @param next the state told by or for the same attempt
 	 * @return {@code true} if it replaces this one
 	 */
-	default boolean yieldsTo(EntryState next) {
+	default boolean canTransitionTo(EntryState next) {
 		if (next instanceof InFlight) {
 			return false;
 		}
--- a/src/main/java/io/shallotspur/ledger/MemoryLedger.java
+++ b/src/main/java/io/shallotspur/ledger/InMemoryLedger.java
@@ -18,7 +18,7 @@
  * kept. Each Mono it returns is signalled on the calling thread, at once or from a later
  * call. Not thread-safe.
  */
-public final class MemoryLedger implements IntentLedger {
+public final class InMemoryLedger implements IntentLedger {
 
 	private static final String NODE = "memory";
 
@@ -37,33 +37,33 @@
 		Intent i = new Intent(k, bodyHash, KeyTime.NONE, new Attempt(NODE, 0, this.attempts++));
 		LedgerEntry e = this.entries.get(k);
 		Map<KeyDigest, LedgerEntry> m = (e != null) ? Map.of(k, e) : Map.of();
-		Shard s = new Shard(LIMITS, 1, new ShardRecord(0, Long.MIN_VALUE, List.of(), List.of(), m), Map.of());
-		Verdict v = s.decide(i, now);
-		if (v instanceof Verdict.Free) {
+		Shard s = new Shard(LIMITS, 1, new ShardHead(0, Long.MIN_VALUE, List.of(), List.of(), m), Map.of());
+		ClaimResult v = s.decide(i, now);
+		if (v instanceof ClaimResult.Unclaimed) {
 			this.entries.put(k, i.toEntry());
 			return Mono.just(new IntentDecision.Run());
 		}
-		if (v instanceof Verdict.Taken taken) {
+		if (v instanceof ClaimResult.AlreadyClaimed taken) {
 			return taken(k, taken.entry(), now, deadlineAt);
 		}
-		RefusalCode code = (v instanceof Verdict.Denied d) ? d.code() : RefusalCode.OUTCOME_UNKNOWN;
+		RefusalCode code = (v instanceof ClaimResult.Denied d) ? d.code() : RefusalCode.OUTCOME_UNKNOWN;
 		return Mono.just(new IntentDecision.Refused(LedgerRefusals.denied(code)));
 	}
 
 	@Override
-	public Mono<Void> answered(IntentKey key, byte[] answer, long now) {
+	public Mono<Void> recordAnswer(IntentKey key, byte[] answer, long now) {
 		end(KeyDigest.of(key), new EntryState.Answered(answer), new IntentDecision.Answered(answer));
 		return Mono.empty();
 	}
 
 	@Override
-	public Mono<Void> unknown(IntentKey key, long now) {
-		end(KeyDigest.of(key), new EntryState.Unknown(), new IntentDecision.Refused(LedgerRefusals.unknown()));
+	public Mono<Void> recordUnknown(IntentKey key, long now) {
+		end(KeyDigest.of(key), new EntryState.Unknown(), new IntentDecision.Refused(LedgerRefusals.outcomeUnknown()));
 		return Mono.empty();
 	}
 
 	@Override
-	public Mono<Void> notRun(IntentKey key, long now) {
+	public Mono<Void> recordNotRun(IntentKey key, long now) {
 		KeyDigest k = KeyDigest.of(key);
 		LedgerEntry e = this.entries.get(k);
 		if (e == null || !(e.state() instanceof EntryState.InFlight)) {
@@ -119,12 +119,12 @@
 			return w.sink().asMono();
 		}
 		return Mono.just(new IntentDecision.Refused(
-				(e.state() instanceof EntryState.InFlight) ? LedgerRefusals.stillRunning() : LedgerRefusals.unknown()));
+				(e.state() instanceof EntryState.InFlight) ? LedgerRefusals.stillRunning() : LedgerRefusals.outcomeUnknown()));
 	}
 
 	private void end(KeyDigest k, EntryState next, IntentDecision told) {
 		LedgerEntry e = this.entries.get(k);
-		if (e == null || !e.state().yieldsTo(next)) {
+		if (e == null || !e.state().canTransitionTo(next)) {
 			return;
 		}
 		this.entries.put(k, e.withState(next));
--- a/src/main/java/io/shallotspur/ledger/IntentDecision.java
+++ b/src/main/java/io/shallotspur/ledger/IntentDecision.java
@@ -17,7 +17,7 @@
 	/**
 	 * The request was answered before; the same answer is given again.
 	 *
-	 * @param answer the answer as it was given to {@link IntentLedger#answered}
+	 * @param answer the answer as it was given to {@link IntentLedger#recordAnswer}
 	 */
 	record Answered(byte[] answer) implements IntentDecision {
 
--- a/src/main/java/io/shallotspur/ledger/IntentLedger.java
+++ b/src/main/java/io/shallotspur/ledger/IntentLedger.java
@@ -6,7 +6,7 @@
  * Lets a request run at most once, over all entry VMs. Thread-safe.
  * <p>
  * Invariant: of all calls to {@link #begin} for one key, on all nodes and for all time,
- * at most one is given {@link IntentDecision.Run} unless {@link #notRun} followed the one
+ * at most one is given {@link IntentDecision.Run} unless {@link #recordNotRun} followed the one
  * before.
  */
 public interface IntentLedger {
@@ -30,7 +30,7 @@
 	 * @param now the present time in milliseconds
 	 * @return completes when the answer is recorded as well as it can be; never fails
 	 */
-	Mono<Void> answered(IntentKey key, byte[] answer, long now);
+	Mono<Void> recordAnswer(IntentKey key, byte[] answer, long now);
 
 	/**
 	 * Records that a request may have been run and its answer is lost.
@@ -38,7 +38,7 @@
 	 * @param now the present time in milliseconds
 	 * @return completes when this is recorded as well as it can be; never fails
 	 */
-	Mono<Void> unknown(IntentKey key, long now);
+	Mono<Void> recordUnknown(IntentKey key, long now);
 
 	/**
 	 * Records that a request whose intent was recorded surely was not run, so that a
@@ -47,6 +47,6 @@
 	 * @param now the present time in milliseconds
 	 * @return completes when this is recorded as well as it can be; never fails
 	 */
-	Mono<Void> notRun(IntentKey key, long now);
+	Mono<Void> recordNotRun(IntentKey key, long now);
 
 }
--- a/src/main/java/io/shallotspur/ledger/LedgerLimits.java
+++ b/src/main/java/io/shallotspur/ledger/LedgerLimits.java
@@ -8,16 +8,16 @@
  * @param untimedShards shards for keys that do not; their entries are never dropped
  * @param timedSlots the most sealed segments of a timed shard
  * @param untimedSlots the most sealed segments of an untimed shard
- * @param segmentBytes the head of a shard is sealed when it is larger, in bytes
- * @param batchBytes the most that one write adds, in bytes
- * @param batchEntries the most intents that one write adds
- * @param batchMs the least time between two writes of a shard by a node, in milliseconds
+ * @param sealThresholdBytes the head of a shard is sealed when it is larger, in bytes
+ * @param maxBatchBytes the most that one write adds, in bytes
+ * @param maxBatchEntries the most intents that one write adds
+ * @param batchIntervalMs the least time between two writes of a shard by a node, in milliseconds
  * @param windowMs how long a timed key is remembered at least, in milliseconds
- * @param aheadMs how far the time of a key may be ahead, in milliseconds
- * @param inlineBytes the largest answer kept in the record, in bytes
+ * @param maxClockSkewMs how far the time of a key may be ahead, in milliseconds
+ * @param maxInlineBytes the largest answer kept in the record, in bytes
  */
-public record LedgerLimits(int timedShards, int untimedShards, int timedSlots, int untimedSlots, int segmentBytes,
-		int batchBytes, int batchEntries, long batchMs, long windowMs, long aheadMs, int inlineBytes) {
+public record LedgerLimits(int timedShards, int untimedShards, int timedSlots, int untimedSlots, int sealThresholdBytes,
+		int maxBatchBytes, int maxBatchEntries, long batchIntervalMs, long windowMs, long maxClockSkewMs, int maxInlineBytes) {
 
 	/**
 	 * 32 shards written at most every 100 ms: 320 writes a second at any request rate. A
@@ -39,8 +39,8 @@
 	public static LedgerLimits of(int shards, long batchMs, long windowMs) {
 		int untimed = Math.max(1, shards / UNTIMED_PART);
 		return DEFAULT.withShards(shards - untimed, untimed)
-			.withBatch(batchMs, DEFAULT.batchEntries)
-			.withSegments(DEFAULT.segmentBytes, DEFAULT.timedSlots, windowMs);
+			.withBatch(batchMs, DEFAULT.maxBatchEntries)
+			.withSegments(DEFAULT.sealThresholdBytes, DEFAULT.timedSlots, windowMs);
 	}
 
 	/**
@@ -79,8 +79,8 @@
 	 */
 	public LedgerLimits withBatch(long batchMs, int batchEntries) {
 		return new LedgerLimits(this.timedShards, this.untimedShards, this.timedSlots, this.untimedSlots,
-				this.segmentBytes, this.batchBytes, batchEntries, batchMs, this.windowMs, this.aheadMs,
-				this.inlineBytes);
+				this.sealThresholdBytes, this.maxBatchBytes, batchEntries, batchMs, this.windowMs, this.maxClockSkewMs,
+				this.maxInlineBytes);
 	}
 
 	/**
@@ -90,8 +90,8 @@
 	 * @return new bounds
 	 */
 	public LedgerLimits withShards(int timedShards, int untimedShards) {
-		return new LedgerLimits(timedShards, untimedShards, this.timedSlots, this.untimedSlots, this.segmentBytes,
-				this.batchBytes, this.batchEntries, this.batchMs, this.windowMs, this.aheadMs, this.inlineBytes);
+		return new LedgerLimits(timedShards, untimedShards, this.timedSlots, this.untimedSlots, this.sealThresholdBytes,
+				this.maxBatchBytes, this.maxBatchEntries, this.batchIntervalMs, this.windowMs, this.maxClockSkewMs, this.maxInlineBytes);
 	}
 
 	/**
@@ -103,8 +103,8 @@
 	 * @return new bounds
 	 */
 	public LedgerLimits withSegments(int segmentBytes, int slots, long windowMs) {
-		return new LedgerLimits(this.timedShards, this.untimedShards, slots, 2 * slots, segmentBytes, this.batchBytes,
-				this.batchEntries, this.batchMs, windowMs, this.aheadMs, this.inlineBytes);
+		return new LedgerLimits(this.timedShards, this.untimedShards, slots, 2 * slots, segmentBytes, this.maxBatchBytes,
+				this.maxBatchEntries, this.batchIntervalMs, windowMs, this.maxClockSkewMs, this.maxInlineBytes);
 	}
 
 }
--- a/src/main/java/io/shallotspur/ledger/LedgerRefusals.java
+++ b/src/main/java/io/shallotspur/ledger/LedgerRefusals.java
@@ -36,7 +36,7 @@
 	 * An earlier call with the key may have been run and its answer is lost.
 	 * @return the refusal
 	 */
-	public static Refusal unknown() {
+	public static Refusal outcomeUnknown() {
 		return Refusal.outcomeUnknown(RefusalCode.OUTCOME_UNKNOWN,
 				"A call with this key may have been run and its answer is lost. It is not run again.");
 	}
@@ -54,7 +54,7 @@
 	 * The key was answered and the answer is gone.
 	 * @return the refusal
 	 */
-	public static Refusal answerGone() {
+	public static Refusal answerNotRetained() {
 		return Refusal.outcomeUnknown(RefusalCode.OUTCOME_UNKNOWN,
 				"The request was run and answered; the answer is no longer kept. It is not run again.");
 	}
--- a/src/main/java/io/shallotspur/ledger/Segment.java
+++ b/src/main/java/io/shallotspur/ledger/Segment.java
@@ -19,7 +19,7 @@
 	 */
 	public boolean isOlderThan(SegmentRef other) {
 		return this.ref.sequence() < other.sequence()
-				|| (this.ref.sequence() == other.sequence() && this.ref.epoch() < other.epoch());
+				|| (this.ref.sequence() == other.sequence() && this.ref.headVersion() < other.headVersion());
 	}
 
 }
--- a/src/main/java/io/shallotspur/ledger/SegmentRef.java
+++ b/src/main/java/io/shallotspur/ledger/SegmentRef.java
@@ -4,9 +4,9 @@
  * Names a sealed segment in the head of its shard. Immutable.
  *
  * @param sequence its number in the shard
- * @param epoch the version of the head it was sealed from
+ * @param headVersion the version of the head it was sealed from
  * @param maxKeyTime the latest time that a key in it carries, or {@link KeyTime#NONE}
  */
-public record SegmentRef(long sequence, long epoch, long maxKeyTime) {
+public record SegmentRef(long sequence, long headVersion, long maxKeyTime) {
 
 }
--- a/src/main/java/io/shallotspur/ledger/Shard.java
+++ b/src/main/java/io/shallotspur/ledger/Shard.java
@@ -31,9 +31,9 @@
 
 	private final int slots;
 
-	private final ShardRecord head;
+	private final ShardHead head;
 
-	private final Map<SegmentRef, Segment> sealed;
+	private final Map<SegmentRef, Segment> sealedSegments;
 
 	private final int headBytes;
 
@@ -44,11 +44,11 @@
 	 * @param head the head
 	 * @param sealed all segments that the head names; others are ignored
 	 */
-	public Shard(LedgerLimits limits, int slots, ShardRecord head, Map<SegmentRef, Segment> sealed) {
+	public Shard(LedgerLimits limits, int slots, ShardHead head, Map<SegmentRef, Segment> sealed) {
 		this.limits = limits;
 		this.slots = slots;
 		this.head = head;
-		this.sealed = Map.copyOf(sealed);
+		this.sealedSegments = Map.copyOf(sealed);
 		this.headBytes = head.entries().values().stream().mapToInt((e) -> sizeOf(e.state())).sum();
 	}
 
@@ -59,14 +59,14 @@
 	 * @return the shard
 	 */
 	public static Shard empty(LedgerLimits limits, int slots) {
-		return new Shard(limits, slots, ShardRecord.EMPTY, Map.of());
+		return new Shard(limits, slots, ShardHead.EMPTY, Map.of());
 	}
 
 	/**
 	 * Returns the head.
 	 * @return the head
 	 */
-	public ShardRecord head() {
+	public ShardHead head() {
 		return this.head;
 	}
 
@@ -74,8 +74,8 @@
 	 * Returns the sealed segments.
 	 * @return an unmodifiable map
 	 */
-	public Map<SegmentRef, Segment> sealed() {
-		return this.sealed;
+	public Map<SegmentRef, Segment> sealedSegments() {
+		return this.sealedSegments;
 	}
 
 	/**
@@ -86,7 +86,7 @@
 	public Optional<LedgerEntry> find(KeyDigest key) {
 		LedgerEntry e = this.head.entries().get(key);
 		for (int i = this.head.segments().size() - 1; e == null && i >= 0; i--) {
-			Segment s = this.sealed.get(this.head.segments().get(i));
+			Segment s = this.sealedSegments.get(this.head.segments().get(i));
 			e = (s != null) ? s.entries().get(key) : null;
 		}
 		return Optional.ofNullable(e);
@@ -96,15 +96,15 @@
 	 * Says what is to be done with an intent.
 	 * @param i the intent
 	 * @param now the present time in milliseconds
-	 * @return the verdict; {@link Verdict.Free} promises nothing until it is committed
+	 * @return the verdict; {@link ClaimResult.Unclaimed} promises nothing until it is committed
 	 */
-	public Verdict decide(Intent i, long now) {
+	public ClaimResult decide(Intent i, long now) {
 		LedgerEntry e = find(i.key()).orElse(null);
 		if (e != null && e.attempt().equals(i.attempt())) {
-			return (e.state() instanceof EntryState.InFlight) ? new Verdict.Granted() : new Verdict.Taken(e);
+			return (e.state() instanceof EntryState.InFlight) ? new ClaimResult.Granted() : new ClaimResult.AlreadyClaimed(e);
 		}
 		if (e != null && !(e.state() instanceof EntryState.NotStarted)) {
-			return (e.bodyHash() == i.bodyHash()) ? new Verdict.Taken(e) : new Verdict.Denied(RefusalCode.KEY_REUSED);
+			return (e.bodyHash() == i.bodyHash()) ? new ClaimResult.AlreadyClaimed(e) : new ClaimResult.Denied(RefusalCode.KEY_REUSED);
 		}
 		return decideFree(i, now);
 	}
@@ -115,11 +115,11 @@
 	 * @param ends the ends
 	 * @return this or a new shard
 	 */
-	public Shard withEnds(Collection<AttemptEnd> ends) {
+	public Shard withAttemptResults(Collection<AttemptResult> ends) {
 		Map<KeyDigest, LedgerEntry> m = null;
-		for (AttemptEnd end : ends) {
+		for (AttemptResult end : ends) {
 			LedgerEntry e = (m != null && m.containsKey(end.key())) ? m.get(end.key()) : find(end.key()).orElse(null);
-			if (e != null && e.attempt().equals(end.attempt()) && e.state().yieldsTo(end.state()) && hasRoomFor(end)) {
+			if (e != null && e.attempt().equals(end.attempt()) && e.state().canTransitionTo(end.state()) && hasRoomFor(end)) {
 				m = (m != null) ? m : new HashMap<>(this.head.entries());
 				m.put(end.key(), e.withState(end.state()));
 			}
@@ -128,7 +128,7 @@
 	}
 
 	/**
-	 * Applies intents that are {@link Verdict.Free}. The result is what is to be written.
+	 * Applies intents that are {@link ClaimResult.Unclaimed}. The result is what is to be written.
 	 * @param intents the intents, one a key
 	 * @return a new shard
 	 */
@@ -148,9 +148,9 @@
 	public Shard withBatch(BatchId batch, long now) {
 		List<BatchId> b = new ArrayList<>(this.head.batches());
 		b.add(batch);
-		List<BatchId> late = b.subList(Math.max(0, b.size() - ShardRecord.MAX_BATCHES), b.size());
+		List<BatchId> late = b.subList(Math.max(0, b.size() - ShardHead.MAX_BATCHES), b.size());
 		List<SegmentRef> kept = new ArrayList<>();
-		long floor = this.head.floor();
+		long floor = this.head.keyTimeWatermark();
 		for (SegmentRef r : this.head.segments()) {
 			if (isDroppable(r, now)) {
 				// The floor is in the record, so a node whose clock lags refuses the
@@ -161,8 +161,8 @@
 				kept.add(r);
 			}
 		}
-		ShardRecord h = new ShardRecord(this.head.sequence(), floor, kept, late, this.head.entries());
-		Map<SegmentRef, Segment> s = new HashMap<>(this.sealed);
+		ShardHead h = new ShardHead(this.head.sequence(), floor, kept, late, this.head.entries());
+		Map<SegmentRef, Segment> s = new HashMap<>(this.sealedSegments);
 		s.keySet().retainAll(kept);
 		return new Shard(this.limits, this.slots, h, s);
 	}
@@ -180,10 +180,10 @@
 	 * Tells whether the head is so large that it is to be sealed before the next write.
 	 * @return {@code true} if it is and there is a slot to seal it to
 	 */
-	public boolean mustSeal() {
+	public boolean shouldSeal() {
 		// A slot that the stored head still names is not free, even if what is in it is
 		// old: a reader in between would find another segment than the one named.
-		return this.headBytes >= this.limits.segmentBytes() && !isSlotNamed((r) -> true);
+		return this.headBytes >= this.limits.sealThresholdBytes() && !isSlotNamed((r) -> true);
 	}
 
 	/**
@@ -203,12 +203,12 @@
 	 * @param s what {@link #toSegment} returned, stored by now
 	 * @return a new shard
 	 */
-	public Shard withSealed(Segment s) {
+	public Shard withSealedHead(Segment s) {
 		List<SegmentRef> refs = new ArrayList<>(this.head.segments());
 		refs.add(s.ref());
-		ShardRecord h = new ShardRecord(this.head.sequence() + 1, this.head.floor(), refs, this.head.batches(),
+		ShardHead h = new ShardHead(this.head.sequence() + 1, this.head.keyTimeWatermark(), refs, this.head.batches(),
 				Map.of());
-		Map<SegmentRef, Segment> m = new HashMap<>(this.sealed);
+		Map<SegmentRef, Segment> m = new HashMap<>(this.sealedSegments);
 		m.put(s.ref(), s);
 		return new Shard(this.limits, this.slots, h, m);
 	}
@@ -227,7 +227,7 @@
 	 * @param e the end
 	 * @return its size in bytes
 	 */
-	public static int sizeOf(AttemptEnd e) {
+	public static int sizeOf(AttemptResult e) {
 		return sizeOf(e.state());
 	}
 
@@ -236,25 +236,25 @@
 		return ENTRY_BYTES + ((a != null) ? a.length : 0);
 	}
 
-	private boolean hasRoomFor(AttemptEnd end) {
+	private boolean hasRoomFor(AttemptResult end) {
 		// A shard whose slots are all taken cannot be sealed. Ends of sealed entries
 		// would make its head grow beyond what the store holds; those entries stay as
 		// they are.
 		return this.headBytes < MAX_HEAD_BYTES || this.head.entries().containsKey(end.key());
 	}
 
-	private Verdict decideFree(Intent i, long now) {
+	private ClaimResult decideFree(Intent i, long now) {
 		long t = i.keyTime();
-		if (t != KeyTime.NONE && (t <= this.head.floor() || t + this.limits.windowMs() <= now)) {
-			return new Verdict.Denied(RefusalCode.KEY_EXPIRED);
+		if (t != KeyTime.NONE && (t <= this.head.keyTimeWatermark() || t + this.limits.windowMs() <= now)) {
+			return new ClaimResult.Denied(RefusalCode.KEY_EXPIRED);
 		}
-		if (t != KeyTime.NONE && t > now + this.limits.aheadMs()) {
-			return new Verdict.Denied(RefusalCode.MALFORMED_REQUEST);
+		if (t != KeyTime.NONE && t > now + this.limits.maxClockSkewMs()) {
+			return new ClaimResult.Denied(RefusalCode.MALFORMED_REQUEST);
 		}
-		if (this.headBytes >= this.limits.segmentBytes() && isSlotNamed((r) -> !isDroppable(r, now))) {
-			return new Verdict.Denied((t != KeyTime.NONE) ? RefusalCode.QUEUE_FULL : RefusalCode.KEY_REQUIRED);
+		if (this.headBytes >= this.limits.sealThresholdBytes() && isSlotNamed((r) -> !isDroppable(r, now))) {
+			return new ClaimResult.Denied((t != KeyTime.NONE) ? RefusalCode.QUEUE_FULL : RefusalCode.KEY_REQUIRED);
 		}
-		return new Verdict.Free();
+		return new ClaimResult.Unclaimed();
 	}
 
 	private boolean isSlotNamed(Predicate<SegmentRef> counts) {
@@ -269,9 +269,9 @@
 	}
 
 	private Shard withEntries(Map<KeyDigest, LedgerEntry> m) {
-		ShardRecord h = new ShardRecord(this.head.sequence(), this.head.floor(), this.head.segments(),
+		ShardHead h = new ShardHead(this.head.sequence(), this.head.keyTimeWatermark(), this.head.segments(),
 				this.head.batches(), m);
-		return new Shard(this.limits, this.slots, h, this.sealed);
+		return new Shard(this.limits, this.slots, h, this.sealedSegments);
 	}
 
 }
--- a/src/main/java/io/shallotspur/ledger/ShardCodec.java
+++ b/src/main/java/io/shallotspur/ledger/ShardCodec.java
@@ -39,9 +39,9 @@
 	 * @param h the head
 	 * @return its bytes
 	 */
-	public static byte[] encode(ShardRecord h) {
+	public static byte[] encode(ShardHead h) {
 		try (MessageBufferPacker p = MessagePack.newDefaultBufferPacker()) {
-			p.packInt(FORMAT).packLong(h.sequence()).packLong(h.floor());
+			p.packInt(FORMAT).packLong(h.sequence()).packLong(h.keyTimeWatermark());
 			p.packArrayHeader(h.segments().size());
 			for (SegmentRef r : h.segments()) {
 				packRef(p, r);
@@ -77,11 +77,11 @@
 
 	/**
 	 * Decodes a head.
-	 * @param bytes what {@link #encode(ShardRecord)} returned
+	 * @param bytes what {@link #encode(ShardHead)} returned
 	 * @return the head
 	 * @throws InputException if the bytes are no head of this format
 	 */
-	public static ShardRecord decodeHead(byte[] bytes) throws InputException {
+	public static ShardHead decodeHead(byte[] bytes) throws InputException {
 		try (MessageUnpacker u = MessagePack.newDefaultUnpacker(bytes)) {
 			checkFormat(u);
 			long sequence = u.unpackLong();
@@ -94,7 +94,7 @@
 			for (int n = u.unpackArrayHeader(); n > 0; n--) {
 				batches.add(new BatchId(u.unpackString(), u.unpackLong(), u.unpackLong()));
 			}
-			return new ShardRecord(sequence, floor, refs, batches, unpackEntries(u));
+			return new ShardHead(sequence, floor, refs, batches, unpackEntries(u));
 		}
 		catch (IOException | RuntimeException ex) {
 			throw new InputException("the record is no ledger head of a known format", null, ex);
@@ -125,7 +125,7 @@
 	}
 
 	private static void packRef(MessageBufferPacker p, SegmentRef r) throws IOException {
-		p.packLong(r.sequence()).packLong(r.epoch()).packLong(r.maxKeyTime());
+		p.packLong(r.sequence()).packLong(r.headVersion()).packLong(r.maxKeyTime());
 	}
 
 	private static SegmentRef unpackRef(MessageUnpacker u) throws IOException {
--- a/src/main/java/io/shallotspur/node/ModelService.java
+++ b/src/main/java/io/shallotspur/node/ModelService.java
@@ -214,7 +214,7 @@
 			// The caller may have left, or the deadline passed, while the intent was
 			// written. Dispatching now would run a request that nobody waits for.
 			if (s.ended() || !this.attempts.has(a)) {
-				this.ports.ledger().notRun(s.intentKey(), now()).subscribe();
+				this.ports.ledger().recordNotRun(s.intentKey(), now()).subscribe();
 				return;
 			}
 			s.holdIntent();
@@ -293,7 +293,7 @@
 		this.loop.deliver(new CellEvent.DecodeDone(a.number()));
 		if (s.intentHeld()) {
 			byte[] answer = s.textSoFar().getBytes(StandardCharsets.UTF_8);
-			this.ports.ledger().answered(s.intentKey(), answer, now()).subscribe();
+			this.ports.ledger().recordAnswer(s.intentKey(), answer, now()).subscribe();
 		}
 		s.complete();
 		end(s);
@@ -322,7 +322,7 @@
 			return;
 		}
 		if (s.intentHeld()) {
-			this.ports.ledger().unknown(s.intentKey(), now()).subscribe();
+			this.ports.ledger().recordUnknown(s.intentKey(), now()).subscribe();
 		}
 		end(s);
 		this.loop.deliver(new CellEvent.CallerGone(s.id()));
@@ -334,8 +334,8 @@
 			return;
 		}
 		if (s.intentHeld()) {
-			Mono<Void> m = (refusal.outcome() == Outcome.NOT_RUN) ? this.ports.ledger().notRun(s.intentKey(), now())
-					: this.ports.ledger().unknown(s.intentKey(), now());
+			Mono<Void> m = (refusal.outcome() == Outcome.NOT_RUN) ? this.ports.ledger().recordNotRun(s.intentKey(), now())
+					: this.ports.ledger().recordUnknown(s.intentKey(), now());
 			m.subscribe();
 		}
 		if (refusal.code() == RefusalCode.QUARANTINED) {
--- a/src/main/java/io/shallotspur/node/PlainCallService.java
+++ b/src/main/java/io/shallotspur/node/PlainCallService.java
@@ -181,7 +181,7 @@
 			// The caller may have left, or the deadline passed, while the intent was
 			// written. It is taken back, so that a resend of the key can run.
 			if (s.ended() || s.attempt() != a.attempt()) {
-				this.ports.ledger().notRun(s.task().intentKey(), now()).subscribe();
+				this.ports.ledger().recordNotRun(s.task().intentKey(), now()).subscribe();
 				return;
 			}
 			s.intentHeld(true);
@@ -219,7 +219,7 @@
 	private void answered(PlainSession s, long attempt, PlainReply reply) {
 		s.running(null);
 		if (s.intentHeld()) {
-			this.ports.ledger().answered(s.task().intentKey(), StoredReply.write(reply), now()).subscribe();
+			this.ports.ledger().recordAnswer(s.task().intentKey(), StoredReply.write(reply), now()).subscribe();
 		}
 		if (!s.ended()) {
 			s.reply(reply);
@@ -273,7 +273,7 @@
 			return;
 		}
 		IntentKey k = s.task().intentKey();
-		Mono<Void> m = notRun ? this.ports.ledger().notRun(k, now()) : this.ports.ledger().unknown(k, now());
+		Mono<Void> m = notRun ? this.ports.ledger().recordNotRun(k, now()) : this.ports.ledger().recordUnknown(k, now());
 		m.subscribe();
 		s.intentHeld(false);
 	}
--- a/src/main/java/io/shallotspur/node/ledger/EndTold.java
+++ b/src/main/java/io/shallotspur/node/ledger/EndTold.java
@@ -3,7 +3,7 @@
 import org.jspecify.annotations.Nullable;
 
 import io.shallotspur.ledger.Attempt;
-import io.shallotspur.ledger.AttemptEnd;
+import io.shallotspur.ledger.AttemptResult;
 import io.shallotspur.ledger.EntryState;
 import io.shallotspur.ledger.KeyDigest;
 import io.shallotspur.port.PeerMessage;
@@ -27,7 +27,7 @@
 	 */
 	public static final int TYPE = 62;
 
-	static EndTold of(int shard, AttemptEnd e) {
+	static EndTold of(int shard, AttemptResult e) {
 		if (e.state() instanceof EntryState.Answered a) {
 			return new EndTold(shard, e.key(), e.attempt(), ReplyKind.ANSWERED, a.answer());
 		}
@@ -35,13 +35,13 @@
 		return new EndTold(shard, e.key(), e.attempt(), k, null);
 	}
 
-	AttemptEnd toEnd() {
+	AttemptResult toEnd() {
 		EntryState s = switch (this.kind) {
 			case ANSWERED -> new EntryState.Answered(this.answer);
 			case DENIED -> new EntryState.NotStarted();
 			default -> new EntryState.Unknown();
 		};
-		return new AttemptEnd(this.key, this.attempt, s);
+		return new AttemptResult(this.key, this.attempt, s);
 	}
 
 }
--- a/src/main/java/io/shallotspur/node/ledger/LedgerRouter.java
+++ b/src/main/java/io/shallotspur/node/ledger/LedgerRouter.java
@@ -8,7 +8,7 @@
 import reactor.core.publisher.Mono;
 import reactor.core.scheduler.Scheduler;
 
-import io.shallotspur.ledger.AttemptEnd;
+import io.shallotspur.ledger.AttemptResult;
 import io.shallotspur.ledger.Intent;
 import io.shallotspur.ledger.KeyDigest;
 import io.shallotspur.port.PeerNetwork;
@@ -63,7 +63,7 @@
 					(ex) -> fallBack(shard, i, deadlineAt, owner, to));
 	}
 
-	void end(int shard, AttemptEnd e, Runnable done) {
+	void end(int shard, AttemptResult e, Runnable done) {
 		String owner = this.owners.owner(shard);
 		if (isHere(owner)) {
 			this.judge.end(shard, e, done);
--- a/src/main/java/io/shallotspur/node/ledger/LedgerService.java
+++ b/src/main/java/io/shallotspur/node/ledger/LedgerService.java
@@ -10,7 +10,7 @@
 import reactor.core.scheduler.Scheduler;
 
 import io.shallotspur.ledger.Attempt;
-import io.shallotspur.ledger.AttemptEnd;
+import io.shallotspur.ledger.AttemptResult;
 import io.shallotspur.ledger.EntryState;
 import io.shallotspur.ledger.Intent;
 import io.shallotspur.ledger.IntentDecision;
@@ -28,7 +28,7 @@
  * The ledger of one node.
  * <p>
  * Invariants: of all nodes that share a store, one call for a key is told to run, until
- * {@link #notRun} is told for it; a call is told to run only after its intent is surely
+ * {@link #recordNotRun} is told for it; a call is told to run only after its intent is surely
  * in the store; each call is told something by its deadline. Thread-safe: all work is
  * done on one scheduler, which must run one task at a time and keeps the time.
  */
@@ -103,26 +103,26 @@
 	}
 
 	@Override
-	public Mono<Void> answered(IntentKey key, byte[] answer, long now) {
+	public Mono<Void> recordAnswer(IntentKey key, byte[] answer, long now) {
 		return Mono.create((sink) -> this.scheduler.schedule(() -> {
 			KeyDigest k = KeyDigest.of(key);
 			KeyRun r = this.runs.get(k);
 			if (r != null && r.phase() == KeyRun.Phase.RUNNING) {
 				this.answers.put(k, r.intent().bodyHash(), answer);
 			}
-			boolean small = answer.length <= this.settings.limits().inlineBytes();
+			boolean small = answer.length <= this.settings.limits().maxInlineBytes();
 			finish(k, new EntryState.Answered(small ? answer : null), new IntentDecision.Answered(answer), sink);
 		}));
 	}
 
 	@Override
-	public Mono<Void> unknown(IntentKey key, long now) {
+	public Mono<Void> recordUnknown(IntentKey key, long now) {
 		return Mono.create((sink) -> this.scheduler.schedule(() -> finish(KeyDigest.of(key), new EntryState.Unknown(),
-				new IntentDecision.Refused(LedgerRefusals.unknown()), sink)));
+				new IntentDecision.Refused(LedgerRefusals.outcomeUnknown()), sink)));
 	}
 
 	@Override
-	public Mono<Void> notRun(IntentKey key, long now) {
+	public Mono<Void> recordNotRun(IntentKey key, long now) {
 		return Mono.create((sink) -> this.scheduler.schedule(() -> giveBack(KeyDigest.of(key), sink)));
 	}
 
@@ -181,7 +181,7 @@
 			case GRANTED -> granted(r);
 			case IN_FLIGHT -> inFlight(r);
 			case ANSWERED -> answered(r, reply);
-			case UNKNOWN -> close(r, new IntentDecision.Refused(LedgerRefusals.unknown()));
+			case UNKNOWN -> close(r, new IntentDecision.Refused(LedgerRefusals.outcomeUnknown()));
 			case DENIED -> close(r, new IntentDecision.Refused(
 					LedgerRefusals.denied((reply.code() != null) ? reply.code() : RefusalCode.MALFORMED_REQUEST)));
 			case UNAVAILABLE -> unavailable(r);
@@ -211,7 +211,7 @@
 			close(r, new IntentDecision.Answered(inline));
 		}
 		else if (holder == null || holder.equals(this.self)) {
-			close(r, new IntentDecision.Refused(LedgerRefusals.answerGone()));
+			close(r, new IntentDecision.Refused(LedgerRefusals.answerNotRetained()));
 		}
 		else {
 			r.setPhase(KeyRun.Phase.WAITING);
@@ -223,7 +223,7 @@
 	private void fetched(KeyRun r, byte @Nullable [] answer) {
 		if (!r.isClosed()) {
 			close(r, (answer != null) ? new IntentDecision.Answered(answer)
-					: new IntentDecision.Refused(LedgerRefusals.answerGone()));
+					: new IntentDecision.Refused(LedgerRefusals.answerNotRetained()));
 		}
 	}
 
@@ -274,7 +274,7 @@
 		// would make each resend of the key wait and end as unknown; so its end is told
 		// now, and once more when a late write would have landed.
 		forget(r);
-		AttemptEnd e = new AttemptEnd(r.intent().key(), r.intent().attempt(), new EntryState.NotStarted());
+		AttemptResult e = new AttemptResult(r.intent().key(), r.intent().attempt(), new EntryState.NotStarted());
 		this.router.end(r.shard(), e, () -> this.ctx.later(REPEAT_ABORT_MS, () -> this.router.end(r.shard(), e, () -> {
 		})));
 	}
@@ -312,7 +312,7 @@
 
 	private void record(KeyRun r, EntryState s, MonoSink<Void> sink) {
 		this.ctx.later(this.settings.askTimeoutMs(), sink::success);
-		this.router.end(r.shard(), new AttemptEnd(r.intent().key(), r.intent().attempt(), s), sink::success);
+		this.router.end(r.shard(), new AttemptResult(r.intent().key(), r.intent().attempt(), s), sink::success);
 	}
 
 	private void sweep() {
--- a/src/main/java/io/shallotspur/node/ledger/ShardJudge.java
+++ b/src/main/java/io/shallotspur/node/ledger/ShardJudge.java
@@ -6,11 +6,11 @@
 
 import org.tinylog.Logger;
 
-import io.shallotspur.ledger.AttemptEnd;
+import io.shallotspur.ledger.AttemptResult;
 import io.shallotspur.ledger.EntryState;
 import io.shallotspur.ledger.Intent;
 import io.shallotspur.ledger.LedgerEntry;
-import io.shallotspur.ledger.Verdict;
+import io.shallotspur.ledger.ClaimResult;
 import io.shallotspur.outcome.RefusalCode;
 
 /**
@@ -45,7 +45,7 @@
 		w.intend(ask.intent(), this.ctx.now() + ask.budgetMs(), (v) -> reply(w, ask, v, to));
 	}
 
-	void end(int shard, AttemptEnd e, Runnable done) {
+	void end(int shard, AttemptResult e, Runnable done) {
 		this.writers.get(shard).end(e, done);
 	}
 
@@ -53,8 +53,8 @@
 		this.writers.forEach(ShardWriter::unload);
 	}
 
-	private void reply(ShardWriter w, IntentAsk ask, Verdict v, Consumer<IntentReply> to) {
-		if (v instanceof Verdict.Taken t && t.entry().state() instanceof EntryState.InFlight) {
+	private void reply(ShardWriter w, IntentAsk ask, ClaimResult v, Consumer<IntentReply> to) {
+		if (v instanceof ClaimResult.AlreadyClaimed t && t.entry().state() instanceof EntryState.InFlight) {
 			inFlight(w, ask, t.entry(), to);
 		}
 		else {
@@ -66,7 +66,7 @@
 		if (!this.liveness.isAlive(e.attempt().node(), e.attempt().incarnation())) {
 			// The node that dispatched is gone and may have run it: nobody will tell
 			// how it ended, and callers would wait for their deadlines.
-			w.end(new AttemptEnd(e.key(), e.attempt(), new EntryState.Unknown()), () -> {
+			w.end(new AttemptResult(e.key(), e.attempt(), new EntryState.Unknown()), () -> {
 			});
 			to.accept(IntentReply.of(ReplyKind.UNKNOWN));
 		}
@@ -79,8 +79,8 @@
 		}
 	}
 
-	private void ended(ShardWriter w, IntentAsk ask, Verdict v, Consumer<IntentReply> to) {
-		if (v instanceof Verdict.Free) {
+	private void ended(ShardWriter w, IntentAsk ask, ClaimResult v, Consumer<IntentReply> to) {
+		if (v instanceof ClaimResult.Unclaimed) {
 			judge(new IntentAsk(ask.shard(), ask.intent(), ask.budgetMs(), 0), to);
 		}
 		else {
@@ -88,15 +88,15 @@
 		}
 	}
 
-	private static IntentReply toReply(Verdict v) {
-		if (v instanceof Verdict.Granted) {
+	private static IntentReply toReply(ClaimResult v) {
+		if (v instanceof ClaimResult.Granted) {
 			return IntentReply.of(ReplyKind.GRANTED);
 		}
-		if (v instanceof Verdict.Denied d) {
+		if (v instanceof ClaimResult.Denied d) {
 			return (d.code() == RefusalCode.STORE_UNAVAILABLE) ? IntentReply.of(ReplyKind.UNAVAILABLE)
 					: new IntentReply(ReplyKind.DENIED, d.code(), null, null);
 		}
-		if (v instanceof Verdict.Taken t) {
+		if (v instanceof ClaimResult.AlreadyClaimed t) {
 			return toReply(t.entry());
 		}
 		return IntentReply.of(ReplyKind.UNAVAILABLE);
--- a/src/main/java/io/shallotspur/node/ledger/ShardLoader.java
+++ b/src/main/java/io/shallotspur/node/ledger/ShardLoader.java
@@ -14,7 +14,7 @@
 import io.shallotspur.ledger.SegmentRef;
 import io.shallotspur.ledger.Shard;
 import io.shallotspur.ledger.ShardCodec;
-import io.shallotspur.ledger.ShardRecord;
+import io.shallotspur.ledger.ShardHead;
 import io.shallotspur.port.KvStore;
 import io.shallotspur.port.StoreRecord;
 
@@ -58,7 +58,7 @@
 	}
 
 	private Mono<Loaded> decode(StoreRecord r, Map<SegmentRef, Segment> known) {
-		ShardRecord head;
+		ShardHead head;
 		try {
 			head = ShardCodec.decodeHead(r.value());
 		}
--- a/src/main/java/io/shallotspur/node/ledger/ShardWriter.java
+++ b/src/main/java/io/shallotspur/node/ledger/ShardWriter.java
@@ -20,7 +20,7 @@
 import io.shallotspur.exc.StoreConflictException;
 import io.shallotspur.exc.StoreUnavailableException;
 import io.shallotspur.ledger.Attempt;
-import io.shallotspur.ledger.AttemptEnd;
+import io.shallotspur.ledger.AttemptResult;
 import io.shallotspur.ledger.BatchId;
 import io.shallotspur.ledger.EntryState;
 import io.shallotspur.ledger.Intent;
@@ -29,7 +29,7 @@
 import io.shallotspur.ledger.Segment;
 import io.shallotspur.ledger.Shard;
 import io.shallotspur.ledger.ShardCodec;
-import io.shallotspur.ledger.Verdict;
+import io.shallotspur.ledger.ClaimResult;
 import io.shallotspur.outcome.RefusalCode;
 
 /**
@@ -87,10 +87,10 @@
 		this.segments = new SegmentWriter(ctx);
 	}
 
-	void intend(Intent i, long deadlineAt, Consumer<Verdict> done) {
+	void intend(Intent i, long deadlineAt, Consumer<ClaimResult> done) {
 		withdraw(i.attempt());
-		Verdict v = (this.shard != null) ? this.shard.decide(i, this.ctx.now()) : new Verdict.Free();
-		if (!(v instanceof Verdict.Free)) {
+		ClaimResult v = (this.shard != null) ? this.shard.decide(i, this.ctx.now()) : new ClaimResult.Unclaimed();
+		if (!(v instanceof ClaimResult.Unclaimed)) {
 			done.accept(v);
 			return;
 		}
@@ -98,7 +98,7 @@
 		pump();
 	}
 
-	void end(AttemptEnd e, Runnable done) {
+	void end(AttemptResult e, Runnable done) {
 		if (e.state() instanceof EntryState.NotStarted) {
 			withdraw(e.attempt());
 		}
@@ -114,9 +114,9 @@
 	 * Waits until another attempt of the key has ended.
 	 * @param i the intent that found the key taken
 	 * @param until when to give up, in milliseconds
-	 * @param done takes the verdict then; {@link Verdict.Free} if it may try again
+	 * @param done takes the verdict then; {@link ClaimResult.Unclaimed} if it may try again
 	 */
-	void watch(Intent i, long until, Consumer<Verdict> done) {
+	void watch(Intent i, long until, Consumer<ClaimResult> done) {
 		this.watchers.put(i.attempt(), new Pending(i, until, done));
 		tellWatchers();
 		pump();
@@ -136,7 +136,7 @@
 	private void withdraw(Attempt a) {
 		Pending p = this.intents.remove(a);
 		if (p != null) {
-			p.done().accept(new Verdict.Denied(RefusalCode.STORE_UNAVAILABLE));
+			p.done().accept(new ClaimResult.Denied(RefusalCode.STORE_UNAVAILABLE));
 		}
 	}
 
@@ -177,7 +177,7 @@
 		if (now < due) {
 			wake(due);
 		}
-		else if (s.mustSeal()) {
+		else if (s.shouldSeal()) {
 			seal(s);
 		}
 		else {
@@ -203,14 +203,14 @@
 
 	private void dropExpired(long now) {
 		List<Pending> late = expired(this.intents, now);
-		late.forEach((p) -> p.done().accept(new Verdict.Denied(RefusalCode.STORE_UNAVAILABLE)));
+		late.forEach((p) -> p.done().accept(new ClaimResult.Denied(RefusalCode.STORE_UNAVAILABLE)));
 		late = expired(this.watchers, now);
 		late.forEach((p) -> p.done().accept(verdictNow(p.intent(), now)));
 	}
 
-	private Verdict verdictNow(Intent i, long now) {
+	private ClaimResult verdictNow(Intent i, long now) {
 		Shard s = (this.shard != null) ? this.shard : this.lastKnown;
-		return (s != null) ? s.decide(i, now) : new Verdict.Denied(RefusalCode.STORE_UNAVAILABLE);
+		return (s != null) ? s.decide(i, now) : new ClaimResult.Denied(RefusalCode.STORE_UNAVAILABLE);
 	}
 
 	private static List<Pending> expired(Map<Attempt, Pending> from, long now) {
@@ -220,13 +220,13 @@
 	}
 
 	private void decideKnown(Shard s, long now) {
-		Shard base = s.withEnds(this.ends.stream().map(PendingEnd::end).toList());
+		Shard base = s.withAttemptResults(this.ends.stream().map(PendingEnd::end).toList());
 		if (base == s) {
 			List<PendingEnd> done = List.copyOf(this.ends);
 			this.ends.clear();
 			done.forEach((e) -> e.done().run());
 		}
-		tell(this.intents, (p) -> base.decide(p.intent(), now), (v) -> !(v instanceof Verdict.Free));
+		tell(this.intents, (p) -> base.decide(p.intent(), now), (v) -> !(v instanceof ClaimResult.Unclaimed));
 	}
 
 	private void tellWatchers() {
@@ -236,14 +236,14 @@
 		}
 		long now = this.ctx.now();
 		tell(this.watchers, (p) -> s.decide(p.intent(), now),
-				(v) -> !(v instanceof Verdict.Taken t) || !(t.entry().state() instanceof EntryState.InFlight));
+				(v) -> !(v instanceof ClaimResult.AlreadyClaimed t) || !(t.entry().state() instanceof EntryState.InFlight));
 	}
 
 	// Whoever is told may ask again at once, so all are told after the map has changed.
-	private static void tell(Map<Attempt, Pending> from, Function<Pending, Verdict> judge, Predicate<Verdict> settled) {
+	private static void tell(Map<Attempt, Pending> from, Function<Pending, ClaimResult> judge, Predicate<ClaimResult> settled) {
 		List<Runnable> told = new ArrayList<>();
 		from.values().removeIf((p) -> {
-			Verdict v = judge.apply(p);
+			ClaimResult v = judge.apply(p);
 			if (!settled.test(v)) {
 				return false;
 			}
@@ -257,12 +257,12 @@
 		List<PendingEnd> endsNow = selectEnds();
 		List<Intent> intentsNow = selectIntents();
 		BatchId batch = this.ctx.nextBatch();
-		Shard next = s.withEnds(endsNow.stream().map(PendingEnd::end).toList())
+		Shard next = s.withAttemptResults(endsNow.stream().map(PendingEnd::end).toList())
 			.withIntents(intentsNow)
 			.withBatch(batch, now);
 		this.busy = true;
 		this.uncertain = batch;
-		this.nextWriteAt = now + limits().batchMs();
+		this.nextWriteAt = now + limits().batchIntervalMs();
 		this.ctx.meter().write(intentsNow.size());
 		this.ctx
 			.timed(this.ctx.store().compareAndSwap(this.loader.headKey(), this.version, ShardCodec.encode(next.head())))
@@ -274,7 +274,7 @@
 		int bytes = 0;
 		for (PendingEnd e : this.ends) {
 			bytes += Shard.sizeOf(e.end());
-			if (l.size() >= limits().batchEntries() || (bytes > limits().batchBytes() && !l.isEmpty())) {
+			if (l.size() >= limits().maxBatchEntries() || (bytes > limits().maxBatchBytes() && !l.isEmpty())) {
 				break;
 			}
 			l.add(e);
@@ -286,7 +286,7 @@
 		Set<KeyDigest> keys = new HashSet<>();
 		List<Intent> l = new ArrayList<>();
 		for (Pending p : this.intents.values()) {
-			if (l.size() < limits().batchEntries() && keys.add(p.intent().key())) {
+			if (l.size() < limits().maxBatchEntries() && keys.add(p.intent().key())) {
 				l.add(p.intent());
 			}
 		}
@@ -315,7 +315,7 @@
 			// Two writers that met would meet again in step; the jitter parts them.
 			this.ctx.meter().conflict();
 			forget();
-			this.nextWriteAt = now + this.ctx.jitter(Math.max(1, limits().batchMs()));
+			this.nextWriteAt = now + this.ctx.jitter(Math.max(1, limits().batchIntervalMs()));
 		}
 		else {
 			if (!(ex instanceof StoreUnavailableException)) {
@@ -337,7 +337,7 @@
 	private void load() {
 		this.busy = true;
 		Shard known = (this.shard != null) ? this.shard : this.lastKnown;
-		this.loader.load((known != null) ? known.sealed() : Map.of()).subscribe(this::loaded, this::failed);
+		this.loader.load((known != null) ? known.sealedSegments() : Map.of()).subscribe(this::loaded, this::failed);
 	}
 
 	private void loaded(ShardLoader.Loaded l) {
@@ -359,8 +359,8 @@
 		this.busy = true;
 		Segment segment = s.toSegment(this.version);
 		String key = this.loader.slotKey(s.slotOf(segment.ref()));
-		this.nextWriteAt = this.ctx.now() + limits().batchMs();
-		this.segments.store(key, segment).subscribe((v) -> sealed(s.withSealed(segment)), this::failed);
+		this.nextWriteAt = this.ctx.now() + limits().batchIntervalMs();
+		this.segments.store(key, segment).subscribe((v) -> sealed(s.withSealedHead(segment)), this::failed);
 	}
 
 	private void sealed(Shard next) {
@@ -387,11 +387,11 @@
 		return this.ctx.settings().limits();
 	}
 
-	private record Pending(Intent intent, long until, Consumer<Verdict> done) {
+	private record Pending(Intent intent, long until, Consumer<ClaimResult> done) {
 
 	}
 
-	private record PendingEnd(AttemptEnd end, Runnable done, long at) {
+	private record PendingEnd(AttemptResult end, Runnable done, long at) {
 
 	}
 
--- a/src/main/java/io/shallotspur/replay/Desk.java
+++ b/src/main/java/io/shallotspur/replay/Desk.java
@@ -16,7 +16,7 @@
 import io.shallotspur.contract.RequestClass;
 import io.shallotspur.ledger.IntentDecision;
 import io.shallotspur.ledger.IntentKey;
-import io.shallotspur.ledger.MemoryLedger;
+import io.shallotspur.ledger.InMemoryLedger;
 import io.shallotspur.outcome.Outcome;
 import io.shallotspur.outcome.Refusal;
 import io.shallotspur.outcome.RefusalCode;
@@ -42,7 +42,7 @@
 
 	private final Map<String, Run> runs = new HashMap<>();
 
-	private final MemoryLedger ledger = new MemoryLedger();
+	private final InMemoryLedger ledger = new InMemoryLedger();
 
 	private final List<Call> calls = new ArrayList<>();
 
@@ -147,7 +147,7 @@
 		run.calls().forEach(this::sendAnswer);
 		IntentKey key = intentKey(run.line(), run.terms());
 		if (key != null) {
-			this.ledger.answered(key, NO_BYTES, this.queue.nowMs()).subscribe();
+			this.ledger.recordAnswer(key, NO_BYTES, this.queue.nowMs()).subscribe();
 		}
 	}
 
@@ -238,7 +238,7 @@
 			return;
 		}
 		long now = this.queue.nowMs();
-		(notRun ? this.ledger.notRun(key, now) : this.ledger.unknown(key, now)).subscribe();
+		(notRun ? this.ledger.recordNotRun(key, now) : this.ledger.recordUnknown(key, now)).subscribe();
 	}
 
 	private static @Nullable IntentKey intentKey(TraceLine.Request line, RequestClass terms) {
--- a/src/test/java/io/shallotspur/ledger/ShardPropertyTests.java
+++ b/src/test/java/io/shallotspur/ledger/ShardPropertyTests.java
@@ -122,7 +122,7 @@
 
 			private final List<Intent> pending = new ArrayList<>();
 
-			private final List<AttemptEnd> ends = new ArrayList<>();
+			private final List<AttemptResult> ends = new ArrayList<>();
 
 			private final Map<Attempt, Intent> running = new HashMap<>();
 
@@ -142,14 +142,14 @@
 				if (this.shard == null) {
 					load();
 				}
-				Shard base = this.shard.withEnds(this.ends);
+				Shard base = this.shard.withAttemptResults(this.ends);
 				for (Intent i : List.copyOf(this.pending)) {
-					Verdict v = base.decide(i, History.this.now);
-					if (v instanceof Verdict.Free) {
+					ClaimResult v = base.decide(i, History.this.now);
+					if (v instanceof ClaimResult.Unclaimed) {
 						continue;
 					}
 					this.pending.remove(i);
-					if (v instanceof Verdict.Granted) {
+					if (v instanceof ClaimResult.Granted) {
 						History.this.runs.merge(i.key(), 1, Integer::sum);
 						this.running.put(i.attempt(), i);
 					}
@@ -160,7 +160,7 @@
 				decide();
 				Map<KeyDigest, Intent> first = new HashMap<>();
 				this.pending.forEach((i) -> first.putIfAbsent(i.key(), i));
-				Shard next = this.shard.withEnds(this.ends)
+				Shard next = this.shard.withAttemptResults(this.ends)
 					.withIntents(first.values())
 					.withBatch(new BatchId(this.name, this.incarnation, 0), History.this.now);
 				byte[] bytes = ShardCodec.encode(next.head());
@@ -176,7 +176,7 @@
 			}
 
 			void seal(int fault) throws InputException {
-				if (this.shard == null || !this.shard.mustSeal()) {
+				if (this.shard == null || !this.shard.shouldSeal()) {
 					return;
 				}
 				Segment s = this.shard.toSegment(this.version);
@@ -189,7 +189,7 @@
 					this.shard = null;
 					return;
 				}
-				this.shard = this.shard.withSealed(s);
+				this.shard = this.shard.withSealedHead(s);
 			}
 
 			void end(int key, int fault) {
@@ -204,7 +204,7 @@
 						if (fault == 1) {
 							History.this.runs.merge(i.key(), -1, Integer::sum);
 						}
-						this.ends.add(new AttemptEnd(i.key(), i.attempt(), s));
+						this.ends.add(new AttemptResult(i.key(), i.attempt(), s));
 					}
 				}
 			}
@@ -220,7 +220,7 @@
 			void load() throws InputException {
 				byte[] head = History.this.store.get("head");
 				this.version = History.this.versions.getOrDefault("head", 0L);
-				ShardRecord r = (head != null) ? ShardCodec.decodeHead(head) : ShardRecord.EMPTY;
+				ShardHead r = (head != null) ? ShardCodec.decodeHead(head) : ShardHead.EMPTY;
 				Map<SegmentRef, Segment> sealed = new HashMap<>();
 				for (SegmentRef ref : r.segments()) {
 					byte[] b = History.this.store.get("slot" + ref.sequence() % 4);
--- a/src/test/java/io/shallotspur/ledger/ShardTests.java
+++ b/src/test/java/io/shallotspur/ledger/ShardTests.java
@@ -32,10 +32,10 @@
 		// A kiosk resends a key-encoding an hour later, when its entry is gone. Run
 		// again, it would issue a second live key.
 		Shard s = Shard.empty(LIMITS, 128);
-		Verdict v = s.decide(intent(1, 1_000, 1), 1_000 + LIMITS.windowMs());
-		assertThat(v).isEqualTo(new Verdict.Denied(RefusalCode.KEY_EXPIRED));
+		ClaimResult v = s.decide(intent(1, 1_000, 1), 1_000 + LIMITS.windowMs());
+		assertThat(v).isEqualTo(new ClaimResult.Denied(RefusalCode.KEY_EXPIRED));
 		assertThat(LedgerRefusals.denied(RefusalCode.KEY_EXPIRED).outcome()).isEqualTo(Outcome.OUTCOME_UNKNOWN);
-		assertThat(s.decide(intent(1, 1_000, 1), 2_000)).isEqualTo(new Verdict.Free());
+		assertThat(s.decide(intent(1, 1_000, 1), 2_000)).isEqualTo(new ClaimResult.Unclaimed());
 	}
 
 	@Test
@@ -44,9 +44,9 @@
 		// that its keys are within the window.
 		LedgerLimits l = LIMITS.withSegments(100, 4, 1_000);
 		Shard s = Shard.empty(l, 4).withIntents(List.of(intent(1, 1_000, 1), intent(2, 1_100, 2)));
-		s = s.withSealed(s.toSegment(1)).withBatch(new BatchId("n", 1, 1), 9_000);
+		s = s.withSealedHead(s.toSegment(1)).withBatch(new BatchId("n", 1, 1), 9_000);
 		assertThat(s.find(new KeyDigest(0, 1))).isEmpty();
-		assertThat(s.decide(intent(1, 1_000, 3), 1_200)).isEqualTo(new Verdict.Denied(RefusalCode.KEY_EXPIRED));
+		assertThat(s.decide(intent(1, 1_000, 3), 1_200)).isEqualTo(new ClaimResult.Denied(RefusalCode.KEY_EXPIRED));
 	}
 
 	@Test
@@ -54,15 +54,15 @@
 		LedgerLimits l = LIMITS.withSegments(100, 2, 1_000_000);
 		Shard s = Shard.empty(l, 2);
 		long key = 0;
-		while (s.decide(intent(key, KeyTime.NONE, key), 0) instanceof Verdict.Free) {
+		while (s.decide(intent(key, KeyTime.NONE, key), 0) instanceof ClaimResult.Unclaimed) {
 			s = s.withIntents(List.of(intent(key, KeyTime.NONE, key))).withBatch(new BatchId("n", 1, key), 0);
-			s = s.mustSeal() ? s.withSealed(s.toSegment(key)) : s;
+			s = s.shouldSeal() ? s.withSealedHead(s.toSegment(key)) : s;
 			key++;
 		}
 		assertThat(key).isGreaterThan(3);
-		assertThat(s.decide(intent(key, KeyTime.NONE, key), 0)).isEqualTo(new Verdict.Denied(RefusalCode.KEY_REQUIRED));
+		assertThat(s.decide(intent(key, KeyTime.NONE, key), 0)).isEqualTo(new ClaimResult.Denied(RefusalCode.KEY_REQUIRED));
 		for (long k = 0; k < key; k++) {
-			assertThat(s.decide(intent(k, KeyTime.NONE, 1_000), 0)).isInstanceOf(Verdict.Taken.class);
+			assertThat(s.decide(intent(k, KeyTime.NONE, 1_000), 0)).isInstanceOf(ClaimResult.AlreadyClaimed.class);
 		}
 	}
 
@@ -71,29 +71,29 @@
 		// Messages repeat and overtake each other. Were an answered key freed by an old
 		// "not run", its next resend would run it again.
 		Shard s = Shard.empty(LIMITS, 128).withIntents(List.of(intent(1, KeyTime.NONE, 1)));
-		Shard answered = s.withEnds(List.of(end(1, new EntryState.Answered(null))));
-		assertThat(answered.withEnds(List.of(end(1, new EntryState.NotStarted())))).isSameAs(answered);
-		assertThat(answered.withEnds(List.of(end(1, new EntryState.Unknown())))).isSameAs(answered);
-		assertThat(s.withEnds(List.of(end(2, new EntryState.NotStarted())))).isSameAs(s);
-		Shard unknown = s.withEnds(List.of(end(1, new EntryState.Unknown())));
-		assertThat(unknown.withEnds(List.of(end(1, new EntryState.Answered(null)))).find(new KeyDigest(0, 1)))
+		Shard answered = s.withAttemptResults(List.of(end(1, new EntryState.Answered(null))));
+		assertThat(answered.withAttemptResults(List.of(end(1, new EntryState.NotStarted())))).isSameAs(answered);
+		assertThat(answered.withAttemptResults(List.of(end(1, new EntryState.Unknown())))).isSameAs(answered);
+		assertThat(s.withAttemptResults(List.of(end(2, new EntryState.NotStarted())))).isSameAs(s);
+		Shard unknown = s.withAttemptResults(List.of(end(1, new EntryState.Unknown())));
+		assertThat(unknown.withAttemptResults(List.of(end(1, new EntryState.Answered(null)))).find(new KeyDigest(0, 1)))
 			.hasValueSatisfying((e) -> assertThat(e.state()).isInstanceOf(EntryState.Answered.class));
-		Shard free = s.withEnds(List.of(end(1, new EntryState.NotStarted())));
-		assertThat(free.withEnds(List.of(end(1, new EntryState.Answered(null))))).isSameAs(free);
-		assertThat(free.decide(intent(1, KeyTime.NONE, 3), 0)).isEqualTo(new Verdict.Free());
+		Shard free = s.withAttemptResults(List.of(end(1, new EntryState.NotStarted())));
+		assertThat(free.withAttemptResults(List.of(end(1, new EntryState.Answered(null))))).isSameAs(free);
+		assertThat(free.decide(intent(1, KeyTime.NONE, 3), 0)).isEqualTo(new ClaimResult.Unclaimed());
 	}
 
 	@Test
 	void headStaysUnderAMegabyte() {
 		List<Intent> intents = new ArrayList<>();
-		List<AttemptEnd> ends = new ArrayList<>();
-		int n = (LIMITS.segmentBytes() + 2 * LIMITS.batchBytes()) / 72;
+		List<AttemptResult> ends = new ArrayList<>();
+		int n = (LIMITS.sealThresholdBytes() + 2 * LIMITS.maxBatchBytes()) / 72;
 		for (long i = 0; i < n; i++) {
 			Intent x = new Intent(new KeyDigest(~i, i), ~i, Long.MAX_VALUE - i, new Attempt("10.0.0.1:99", 1, ~i));
 			intents.add(x);
-			ends.add(new AttemptEnd(x.key(), x.attempt(), new EntryState.Answered(null)));
+			ends.add(new AttemptResult(x.key(), x.attempt(), new EntryState.Answered(null)));
 		}
-		Shard s = Shard.empty(LIMITS, 128).withIntents(intents).withEnds(ends);
+		Shard s = Shard.empty(LIMITS, 128).withIntents(intents).withAttemptResults(ends);
 		assertThat(ShardCodec.encode(s.head()).length).isLessThanOrEqualTo(n * 72).isLessThan(1_000_000);
 	}
 
@@ -107,7 +107,7 @@
 	void otherBodyUnderTheSameKeyIsRefused() {
 		Shard s = Shard.empty(LIMITS, 128).withIntents(List.of(intent(1, KeyTime.NONE, 1)));
 		Intent other = new Intent(new KeyDigest(0, 1), 99, KeyTime.NONE, new Attempt("n", 1, 2));
-		assertThat(s.decide(other, 0)).isEqualTo(new Verdict.Denied(RefusalCode.KEY_REUSED));
+		assertThat(s.decide(other, 0)).isEqualTo(new ClaimResult.Denied(RefusalCode.KEY_REUSED));
 	}
 
 	@Test
@@ -131,7 +131,7 @@
 
 	@Test
 	void memoryLedgerJoinsAnswersAndExpires() {
-		MemoryLedger l = new MemoryLedger();
+		InMemoryLedger l = new InMemoryLedger();
 		IntentKey k = new IntentKey("c", "k1");
 		assertThat(l.begin(k, 1, 0, 100).block()).isInstanceOf(IntentDecision.Run.class);
 		AtomicReference<IntentDecision> late = new AtomicReference<>();
@@ -142,16 +142,16 @@
 		l.advance(50);
 		assertThat(late.get()).isInstanceOfSatisfying(IntentDecision.Refused.class,
 				(r) -> assertThat(r.refusal().outcome()).isEqualTo(Outcome.OUTCOME_UNKNOWN));
-		l.notRun(k, 60).block();
+		l.recordNotRun(k, 60).block();
 		assertThat(joined.get()).isInstanceOf(IntentDecision.Run.class);
-		l.answered(k, new byte[] { 7 }, 70).block();
+		l.recordAnswer(k, new byte[] { 7 }, 70).block();
 		assertThat(l.begin(k, 1, 80, 100).block()).isInstanceOfSatisfying(IntentDecision.Answered.class,
 				(a) -> assertThat(a.answer()).containsExactly(7));
 		assertThat(l.begin(k, 2, 80, 100).block()).isInstanceOf(IntentDecision.Refused.class);
 	}
 
-	private static AttemptEnd end(long attempt, EntryState s) {
-		return new AttemptEnd(new KeyDigest(0, 1), new Attempt("n", 1, attempt), s);
+	private static AttemptResult end(long attempt, EntryState s) {
+		return new AttemptResult(new KeyDigest(0, 1), new Attempt("n", 1, attempt), s);
 	}
 
 	private static Intent intent(long key, long time, long attempt) {
--- a/src/test/java/io/shallotspur/node/FakeLedger.java
+++ b/src/test/java/io/shallotspur/node/FakeLedger.java
@@ -46,7 +46,7 @@
 	}
 
 	@Override
-	public Mono<Void> answered(IntentKey key, byte[] answer, long now) {
+	public Mono<Void> recordAnswer(IntentKey key, byte[] answer, long now) {
 		return Mono.fromRunnable(() -> {
 			this.calls.add("answered " + key.key());
 			this.answers.put(key, answer);
@@ -54,12 +54,12 @@
 	}
 
 	@Override
-	public Mono<Void> unknown(IntentKey key, long now) {
+	public Mono<Void> recordUnknown(IntentKey key, long now) {
 		return Mono.fromRunnable(() -> this.calls.add("unknown " + key.key()));
 	}
 
 	@Override
-	public Mono<Void> notRun(IntentKey key, long now) {
+	public Mono<Void> recordNotRun(IntentKey key, long now) {
 		return Mono.fromRunnable(() -> {
 			this.calls.add("notRun " + key.key());
 			this.intents.remove(key);
--- a/src/test/java/io/shallotspur/node/ledger/LedgerHistoryPropertyTests.java
+++ b/src/test/java/io/shallotspur/node/ledger/LedgerHistoryPropertyTests.java
@@ -161,18 +161,18 @@
 				return;
 			}
 			if (dice == 0) {
-				n.service().unknown(c.key(), this.fleet.now()).subscribe();
+				n.service().recordUnknown(c.key(), this.fleet.now()).subscribe();
 			}
 			else if (dice <= 2) {
 				this.runs.merge(key, -1, Integer::sum);
-				n.service().notRun(c.key(), this.fleet.now()).subscribe();
+				n.service().recordNotRun(c.key(), this.fleet.now()).subscribe();
 			}
 			else {
 				byte[] a = new byte[(dice < 5) ? 10 : 400];
 				a[0] = (byte) key.hashCode();
 				a[1] = (byte) this.dispatched.size();
 				this.answers.put(key, a);
-				n.service().answered(c.key(), a, this.fleet.now()).subscribe();
+				n.service().recordAnswer(c.key(), a, this.fleet.now()).subscribe();
 			}
 		}
 
--- a/src/test/java/io/shallotspur/node/ledger/LedgerServiceTests.java
+++ b/src/test/java/io/shallotspur/node/ledger/LedgerServiceTests.java
@@ -31,7 +31,7 @@
 		Call other = begin(2, 10_000);
 		assertThat(first.decision()).isInstanceOf(IntentDecision.Run.class);
 		assertThat(same.isTold() || other.isTold()).isFalse();
-		this.fleet.node(1).service().answered(first.key(), SMALL, this.fleet.now()).subscribe();
+		this.fleet.node(1).service().recordAnswer(first.key(), SMALL, this.fleet.now()).subscribe();
 		this.fleet.advance(1_000);
 		assertAnswer(same, SMALL);
 		assertAnswer(other, SMALL);
@@ -112,7 +112,7 @@
 		this.fleet.node(0).resume();
 		this.fleet.advance(2_000);
 		assertThat(stuck.isTold()).isFalse();
-		this.fleet.node(1).service().answered(c.key(), SMALL, this.fleet.now()).subscribe();
+		this.fleet.node(1).service().recordAnswer(c.key(), SMALL, this.fleet.now()).subscribe();
 		this.fleet.advance(2_000);
 		assertAnswer(stuck, SMALL);
 	}
@@ -141,7 +141,7 @@
 	@Test
 	void largeAnswerIsFetchedFromTheNodeThatHasItElseUnknown() {
 		Call c = begin(1, 1_000);
-		this.fleet.node(1).service().answered(c.key(), LARGE, this.fleet.now()).subscribe();
+		this.fleet.node(1).service().recordAnswer(c.key(), LARGE, this.fleet.now()).subscribe();
 		this.fleet.advance(1_000);
 		assertAnswer(begin(2, 1_000), LARGE);
 		this.fleet.node(1).crash();
@@ -155,7 +155,7 @@
 	void surelyNotRunMayBeRunAgain() {
 		Call c = begin(1, 1_000);
 		Call waits = begin(2, 5_000);
-		this.fleet.node(1).service().notRun(c.key(), this.fleet.now()).subscribe();
+		this.fleet.node(1).service().recordNotRun(c.key(), this.fleet.now()).subscribe();
 		this.fleet.advance(1_500);
 		assertThat(waits.decision()).isInstanceOf(IntentDecision.Run.class);
 		assertThat(begin(0, 300).isTold()).isFalse();
@@ -193,7 +193,7 @@
 	void writesDoNotGrowWithTheRate() {
 		int few = writesInOneSecond(100, "few ");
 		int many = writesInOneSecond(3_000, "many ");
-		long bound = LedgerFleet.SETTINGS.limits().shards() * (1_000 / LedgerFleet.SETTINGS.limits().batchMs() + 1);
+		long bound = LedgerFleet.SETTINGS.limits().shards() * (1_000 / LedgerFleet.SETTINGS.limits().batchIntervalMs() + 1);
 		assertThat(few).isLessThanOrEqualTo((int) bound);
 		assertThat(many).isLessThanOrEqualTo((int) bound);
 	}
