--- a/src/main/java/io/shallotspur/ledger/Attempt.java
+++ b/src/main/java/io/shallotspur/ledger/Attempt.java
@@ -1,11 +1,12 @@
 package io.shallotspur.ledger;
 
 /**
- * One call's claim on a key, made by the node that will dispatch it. Unique for all time;
- * only the node that made it may dispatch under it, once. Immutable.
+ * Identifies one call's claim on an idempotency key, created by the node that will
+ * dispatch the call. Never reused; only the node that created it may dispatch the request
+ * under it, and only once. Immutable.
  *
  * @param node the peer address of the node
- * @param incarnation rises each time the node starts
+ * @param incarnation start counter of the node, incremented on each start
  * @param sequence unique within the incarnation
  */
 public record Attempt(String node, long incarnation, long sequence) {
--- a/src/main/java/io/shallotspur/ledger/AttemptFilter.java
+++ b/src/main/java/io/shallotspur/ledger/AttemptFilter.java
@@ -1,39 +1,41 @@
 package io.shallotspur.ledger;
 
 /**
- * Lets one answer of one attempt at a time through to a caller, in order and without
- * repetition: late, out-of-order and duplicate pieces of other or former attempts are
- * dropped, so that an answer never mixes two attempts. Not thread-safe.
+ * Forwards the response chunks of the current attempt only, in order and without
+ * duplicates. Late, out-of-order and duplicate chunks and those of other or earlier
+ * attempts are dropped, so that stale output of one attempt is never interleaved with
+ * that of another. Not thread-safe.
  * <p>
- * Invariant: the accepted pieces have indexes 0, 1, 2 and so on over all attempts, and
- * nothing is accepted after the end.
+ * Invariant: accepted chunks have consecutive indexes from 0 across all attempts, and
+ * nothing is accepted after the end of the response.
  */
 public final class AttemptFilter {
 
-	private static final long NONE = -1;
+	private static final long NO_ATTEMPT = -1;
 
-	private long attempt = NONE;
+	private long currentAttempt = NO_ATTEMPT;
 
 	private long nextIndex;
 
 	private boolean ended;
 
 	/**
-	 * Makes an attempt the current one. It has to go on at {@link #nextIndex()}.
+	 * Makes an attempt the current one. It must continue at {@link #nextIndex()}.
 	 * @param attempt the attempt, at least 0
 	 */
 	public void start(long attempt) {
-		this.attempt = attempt;
+		this.currentAttempt = attempt;
 	}
 
 	/**
-	 * Takes a piece of an answer.
+	 * Checks whether a chunk is the next one of the current attempt and, if so, advances
+	 * the expected index.
 	 * @param attempt the attempt it belongs to
-	 * @param index its place in the answer, from 0
-	 * @return whether it is to be passed on
+	 * @param index its index in the response, from 0
+	 * @return {@code true} if the chunk is to be forwarded to the caller
 	 */
 	public boolean accept(long attempt, long index) {
-		if (this.ended || attempt != this.attempt || index != this.nextIndex) {
+		if (this.ended || attempt != this.currentAttempt || index != this.nextIndex) {
 			return false;
 		}
 		this.nextIndex++;
@@ -41,13 +43,13 @@
 	}
 
 	/**
-	 * Takes the end of an answer.
+	 * Checks whether the end of a response completes the current attempt.
 	 * @param attempt the attempt it belongs to
-	 * @param pieces how many pieces the whole answer has
-	 * @return whether the answer is whole and the end is to be passed on
+	 * @param chunkCount number of chunks in the complete response
+	 * @return {@code true} if all chunks were accepted and the end is to be forwarded
 	 */
-	public boolean end(long attempt, long pieces) {
-		if (this.ended || attempt != this.attempt || pieces != this.nextIndex) {
+	public boolean end(long attempt, long chunkCount) {
+		if (this.ended || attempt != this.currentAttempt || chunkCount != this.nextIndex) {
 			return false;
 		}
 		this.ended = true;
@@ -55,14 +57,14 @@
 	}
 
 	/**
-	 * Gives up the current attempt: nothing more of it is accepted.
+	 * Abandons the current attempt; its later chunks are dropped.
 	 */
 	public void abandon() {
-		this.attempt = NONE;
+		this.currentAttempt = NO_ATTEMPT;
 	}
 
 	/**
-	 * Returns the index of the piece that is wanted next.
+	 * Returns the index of the next expected chunk.
 	 * @return the index
 	 */
 	public long nextIndex() {
--- a/src/main/java/io/shallotspur/ledger/AttemptResult.java
+++ b/src/main/java/io/shallotspur/ledger/AttemptResult.java
@@ -1,11 +1,11 @@
 package io.shallotspur.ledger;
 
 /**
- * How an attempt ended. Applying it twice is the same as once. Immutable.
+ * The final state of an attempt. Applying it is idempotent. Immutable.
  *
  * @param key the digest of the key
  * @param attempt the attempt
- * @param state its last state; never {@link EntryState.InFlight}
+ * @param state its final state; never {@link EntryState.InFlight}
  */
 public record AttemptResult(KeyDigest key, Attempt attempt, EntryState state) {
 
--- a/src/main/java/io/shallotspur/ledger/BatchId.java
+++ b/src/main/java/io/shallotspur/ledger/BatchId.java
@@ -1,11 +1,12 @@
 package io.shallotspur.ledger;
 
 /**
- * Names one write of a shard, so that a node which lost the answer can tell on reading
- * again whether the write took effect. Immutable.
+ * Identifies one write of a shard. A node that did not receive the response to a write
+ * rereads the shard and looks for this id to determine whether the write took effect.
+ * Immutable.
  *
  * @param node the peer address of the writer
- * @param incarnation rises each time the node starts
+ * @param incarnation start counter of the node, incremented on each start
  * @param number unique within the incarnation
  */
 public record BatchId(String node, long incarnation, long number) {
--- a/src/main/java/io/shallotspur/ledger/ClaimResult.java
+++ b/src/main/java/io/shallotspur/ledger/ClaimResult.java
@@ -3,28 +3,30 @@
 import io.shallotspur.outcome.RefusalCode;
 
 /**
- * What a shard says to an intent. Immutable.
+ * Result of evaluating an intent against a shard. Immutable.
  */
 public sealed interface ClaimResult {
 
 	/**
-	 * The key is free; the intent may be committed, and only then be run.
+	 * The key is unclaimed. The intent may be committed; the request may run only after
+	 * the commit.
 	 */
 	record Unclaimed() implements ClaimResult {
 
 	}
 
 	/**
-	 * The intent is committed for this very attempt, which may dispatch it once.
+	 * The intent of this attempt is committed; the attempt may dispatch the request once.
 	 */
 	record Granted() implements ClaimResult {
 
 	}
 
 	/**
-	 * The key belongs to another attempt.
+	 * The key was claimed by another attempt, or the state of this attempt is already
+	 * final.
 	 *
-	 * @param entry what is known of it
+	 * @param entry the existing entry of the key
 	 */
 	record AlreadyClaimed(LedgerEntry entry) implements ClaimResult {
 
@@ -33,7 +35,7 @@
 	/**
 	 * The key cannot be used.
 	 *
-	 * @param code why
+	 * @param code the reason
 	 */
 	record Denied(RefusalCode code) implements ClaimResult {
 
--- a/src/main/java/io/shallotspur/ledger/EntryState.java
+++ b/src/main/java/io/shallotspur/ledger/EntryState.java
@@ -3,16 +3,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * How far the request of a key has come. Immutable.
+ * State of the request that belongs to an idempotency key. Immutable.
  */
 public sealed interface EntryState {
 
 	/**
-	 * Tells whether the end of an attempt may replace this state. A state only gains
-	 * certainty: what was answered stays so, and what was given up for unknown may turn
-	 * out answered or not run.
-	 * @param next the state told by or for the same attempt
-	 * @return {@code true} if it replaces this one
+	 * Checks whether the result of an attempt may replace this state. Transitions only
+	 * add certainty: an answered entry stays answered, and an entry with unknown outcome
+	 * may later become answered or not started.
+	 * @param next the state reported by or on behalf of the same attempt
+	 * @return {@code true} if the transition is allowed
 	 */
 	default boolean canTransitionTo(EntryState next) {
 		if (next instanceof InFlight) {
@@ -25,30 +25,31 @@
 	}
 
 	/**
-	 * It was surely not run: as if the key had never been seen.
+	 * The request was definitely not run; the key can be claimed as if it were new.
 	 */
 	record NotStarted() implements EntryState {
 
 	}
 
 	/**
-	 * Its intent is recorded; it may have been dispatched.
+	 * The intent is recorded; the request may have been dispatched.
 	 */
 	record InFlight() implements EntryState {
 
 	}
 
 	/**
-	 * It was run and answered.
+	 * The request was run and answered.
 	 *
-	 * @param answer the answer if it is small; else the node of the attempt may have it
+	 * @param answer the answer if it is small enough to be stored inline; otherwise
+	 * {@code null}, and the node of the attempt may still hold it
 	 */
 	record Answered(byte @Nullable [] answer) implements EntryState {
 
 	}
 
 	/**
-	 * It may have been run and its answer is lost.
+	 * The request may have been run, but its answer is lost.
 	 */
 	record Unknown() implements EntryState {
 
--- a/src/main/java/io/shallotspur/ledger/InMemoryLedger.java
+++ b/src/main/java/io/shallotspur/ledger/InMemoryLedger.java
@@ -13,10 +13,11 @@
 import io.shallotspur.outcome.RefusalCode;
 
 /**
- * A ledger of one process, for replays and tests: the state machine of the real one
- * without a store. It reads no clock: time passes by {@link #advance}. All answers are
- * kept. Each Mono it returns is signalled on the calling thread, at once or from a later
- * call. Not thread-safe.
+ * In-memory ledger of a single process, for replays and tests. It uses the same state
+ * machine as the distributed ledger, without a store. It does not read the clock;
+ * {@link #advance} sets the current time. All answers are retained. Each returned Mono is
+ * signalled on the calling thread, either immediately or during a later call. Not
+ * thread-safe.
  */
 public final class InMemoryLedger implements IntentLedger {
 
@@ -29,22 +30,22 @@
 
 	private final Map<KeyDigest, Deque<Waiter>> waiters = new HashMap<>();
 
-	private long attempts;
+	private long nextAttempt;
 
 	@Override
 	public Mono<IntentDecision> begin(IntentKey key, long bodyHash, long now, long deadlineAt) {
-		KeyDigest k = KeyDigest.of(key);
-		Intent i = new Intent(k, bodyHash, KeyTime.NONE, new Attempt(NODE, 0, this.attempts++));
-		LedgerEntry e = this.entries.get(k);
-		Map<KeyDigest, LedgerEntry> m = (e != null) ? Map.of(k, e) : Map.of();
+		KeyDigest digest = KeyDigest.of(key);
+		Intent i = new Intent(digest, bodyHash, KeyTime.NONE, new Attempt(NODE, 0, this.nextAttempt++));
+		LedgerEntry e = this.entries.get(digest);
+		Map<KeyDigest, LedgerEntry> m = (e != null) ? Map.of(digest, e) : Map.of();
 		Shard s = new Shard(LIMITS, 1, new ShardHead(0, Long.MIN_VALUE, List.of(), List.of(), m), Map.of());
 		ClaimResult v = s.decide(i, now);
 		if (v instanceof ClaimResult.Unclaimed) {
-			this.entries.put(k, i.toEntry());
+			this.entries.put(digest, i.toEntry());
 			return Mono.just(new IntentDecision.Run());
 		}
-		if (v instanceof ClaimResult.AlreadyClaimed taken) {
-			return taken(k, taken.entry(), now, deadlineAt);
+		if (v instanceof ClaimResult.AlreadyClaimed claimed) {
+			return resolveClaimed(digest, claimed.entry(), now, deadlineAt);
 		}
 		RefusalCode code = (v instanceof ClaimResult.Denied d) ? d.code() : RefusalCode.OUTCOME_UNKNOWN;
 		return Mono.just(new IntentDecision.Refused(LedgerRefusals.denied(code)));
@@ -52,26 +53,27 @@
 
 	@Override
 	public Mono<Void> recordAnswer(IntentKey key, byte[] answer, long now) {
-		end(KeyDigest.of(key), new EntryState.Answered(answer), new IntentDecision.Answered(answer));
+		complete(KeyDigest.of(key), new EntryState.Answered(answer), new IntentDecision.Answered(answer));
 		return Mono.empty();
 	}
 
 	@Override
 	public Mono<Void> recordUnknown(IntentKey key, long now) {
-		end(KeyDigest.of(key), new EntryState.Unknown(), new IntentDecision.Refused(LedgerRefusals.outcomeUnknown()));
+		complete(KeyDigest.of(key), new EntryState.Unknown(),
+				new IntentDecision.Refused(LedgerRefusals.outcomeUnknown()));
 		return Mono.empty();
 	}
 
 	@Override
 	public Mono<Void> recordNotRun(IntentKey key, long now) {
-		KeyDigest k = KeyDigest.of(key);
-		LedgerEntry e = this.entries.get(k);
+		KeyDigest digest = KeyDigest.of(key);
+		LedgerEntry e = this.entries.get(digest);
 		if (e == null || !(e.state() instanceof EntryState.InFlight)) {
 			return Mono.empty();
 		}
-		Waiter next = nextWaiter(k, now);
+		Waiter next = nextWaiter(digest, now);
 		if (next == null) {
-			this.entries.put(k, e.withState(new EntryState.NotStarted()));
+			this.entries.put(digest, e.withState(new EntryState.NotStarted()));
 		}
 		else {
 			next.sink().tryEmitValue(new IntentDecision.Run());
@@ -80,9 +82,9 @@
 	}
 
 	/**
-	 * Lets time pass: callers that wait for a request in flight and whose deadline has
-	 * come are told so.
-	 * @param now the present time in milliseconds
+	 * Advances the time and refuses the callers that wait for a request in flight and
+	 * whose deadline has passed.
+	 * @param now the current time in milliseconds
 	 */
 	public void advance(long now) {
 		List<Waiter> due = this.waiters.values()
@@ -92,13 +94,13 @@
 			.toList();
 		this.waiters.values().forEach((l) -> l.removeAll(due));
 		this.waiters.values().removeIf(Deque::isEmpty);
-		// Told last: a caller may call back at once.
+		// Signalled last because a subscriber may call this ledger reentrantly.
 		due.forEach((w) -> w.sink().tryEmitValue(new IntentDecision.Refused(LedgerRefusals.stillRunning())));
 	}
 
 	/**
-	 * Returns when {@link #advance} is due.
-	 * @return the time in milliseconds, or {@link Long#MAX_VALUE} if none waits
+	 * Returns the time at which {@link #advance} must be called next.
+	 * @return the time in milliseconds, or {@link Long#MAX_VALUE} if no caller is waiting
 	 */
 	public long nextWake() {
 		return this.waiters.values()
@@ -109,34 +111,34 @@
 			.orElse(Long.MAX_VALUE);
 	}
 
-	private Mono<IntentDecision> taken(KeyDigest k, LedgerEntry e, long now, long deadlineAt) {
+	private Mono<IntentDecision> resolveClaimed(KeyDigest digest, LedgerEntry e, long now, long deadlineAt) {
 		if (e.state() instanceof EntryState.Answered a && a.answer() != null) {
 			return Mono.just(new IntentDecision.Answered(a.answer()));
 		}
 		if (e.state() instanceof EntryState.InFlight && deadlineAt > now) {
 			Waiter w = new Waiter(Sinks.one(), deadlineAt);
-			this.waiters.computeIfAbsent(k, (x) -> new ArrayDeque<>()).add(w);
+			this.waiters.computeIfAbsent(digest, (x) -> new ArrayDeque<>()).add(w);
 			return w.sink().asMono();
 		}
-		return Mono.just(new IntentDecision.Refused(
-				(e.state() instanceof EntryState.InFlight) ? LedgerRefusals.stillRunning() : LedgerRefusals.outcomeUnknown()));
+		return Mono.just(new IntentDecision.Refused((e.state() instanceof EntryState.InFlight)
+				? LedgerRefusals.stillRunning() : LedgerRefusals.outcomeUnknown()));
 	}
 
-	private void end(KeyDigest k, EntryState next, IntentDecision told) {
-		LedgerEntry e = this.entries.get(k);
+	private void complete(KeyDigest digest, EntryState next, IntentDecision decision) {
+		LedgerEntry e = this.entries.get(digest);
 		if (e == null || !e.state().canTransitionTo(next)) {
 			return;
 		}
-		this.entries.put(k, e.withState(next));
-		Deque<Waiter> l = this.waiters.remove(k);
+		this.entries.put(digest, e.withState(next));
+		Deque<Waiter> l = this.waiters.remove(digest);
 		if (l != null) {
-			l.forEach((w) -> w.sink().tryEmitValue(told));
+			l.forEach((w) -> w.sink().tryEmitValue(decision));
 		}
 	}
 
-	private @Nullable Waiter nextWaiter(KeyDigest k, long now) {
+	private @Nullable Waiter nextWaiter(KeyDigest digest, long now) {
 		advance(now);
-		Deque<Waiter> l = this.waiters.get(k);
+		Deque<Waiter> l = this.waiters.get(digest);
 		Waiter w = (l != null) ? l.poll() : null;
 		this.waiters.values().removeIf(Deque::isEmpty);
 		return w;
--- a/src/main/java/io/shallotspur/ledger/Intent.java
+++ b/src/main/java/io/shallotspur/ledger/Intent.java
@@ -1,12 +1,13 @@
 package io.shallotspur.ledger;
 
 /**
- * The wish to run a request. Immutable.
+ * A claim on an idempotency key that is recorded before the request is dispatched.
+ * Immutable.
  *
  * @param key the digest of the key
- * @param bodyHash hash of what is to be run
- * @param keyTime the time the key carries, or {@link KeyTime#NONE}
- * @param attempt the claim made for it
+ * @param bodyHash hash of the request body
+ * @param keyTime the timestamp in the key in milliseconds, or {@link KeyTime#NONE}
+ * @param attempt the attempt that claims the key
  */
 public record Intent(KeyDigest key, long bodyHash, long keyTime, Attempt attempt) {
 
--- a/src/main/java/io/shallotspur/ledger/IntentDecision.java
+++ b/src/main/java/io/shallotspur/ledger/IntentDecision.java
@@ -3,30 +3,30 @@
 import io.shallotspur.outcome.Refusal;
 
 /**
- * What is to be done with a request that may be run once at most. Immutable.
+ * Decision on a request that may run at most once. Immutable.
  */
 public sealed interface IntentDecision {
 
 	/**
-	 * The intent is recorded and this call is the one that may dispatch it.
+	 * The intent is recorded and this call may dispatch the request.
 	 */
 	record Run() implements IntentDecision {
 
 	}
 
 	/**
-	 * The request was answered before; the same answer is given again.
+	 * The request was already answered; the stored answer is returned.
 	 *
-	 * @param answer the answer as it was given to {@link IntentLedger#recordAnswer}
+	 * @param answer the answer that was passed to {@link IntentLedger#recordAnswer}
 	 */
 	record Answered(byte[] answer) implements IntentDecision {
 
 	}
 
 	/**
-	 * The request is not to be dispatched by this call.
+	 * This call must not dispatch the request.
 	 *
-	 * @param refusal what the caller is told
+	 * @param refusal the refusal to return to the caller
 	 */
 	record Refused(Refusal refusal) implements IntentDecision {
 
--- a/src/main/java/io/shallotspur/ledger/IntentKey.java
+++ b/src/main/java/io/shallotspur/ledger/IntentKey.java
@@ -1,10 +1,11 @@
 package io.shallotspur.ledger;
 
 /**
- * Names a request that may be run once at most. Immutable.
+ * Identifies a request that may run at most once. Idempotency keys are scoped to a
+ * customer. Immutable.
  *
  * @param customer the customer
- * @param key the caller's Idempotency-Key
+ * @param key the value of the caller's Idempotency-Key header
  */
 public record IntentKey(String customer, String key) {
 
--- a/src/main/java/io/shallotspur/ledger/KeyDigest.java
+++ b/src/main/java/io/shallotspur/ledger/KeyDigest.java
@@ -6,8 +6,9 @@
 import java.security.NoSuchAlgorithmException;
 
 /**
- * Stands for an {@link IntentKey} in records and messages: the first half of a SHA-256,
- * so that no customer can find a key that collides with another's. Immutable.
+ * Represents an {@link IntentKey} in stored records and messages as the first 128 bits of
+ * a SHA-256 digest. A cryptographic hash is used so that no customer can construct a key
+ * that collides with another customer's key. Immutable.
  *
  * @param hi the first 64 bits
  * @param lo the next 64 bits
@@ -26,11 +27,11 @@
 			sha.update(ByteBuffer.allocate(Integer.BYTES).putInt(customer.length).flip());
 			sha.update(customer);
 			sha.update(key.key().getBytes(StandardCharsets.UTF_8));
-			ByteBuffer b = ByteBuffer.wrap(sha.digest());
-			return new KeyDigest(b.getLong(), b.getLong());
+			ByteBuffer buffer = ByteBuffer.wrap(sha.digest());
+			return new KeyDigest(buffer.getLong(), buffer.getLong());
 		}
 		catch (NoSuchAlgorithmException ex) {
-			throw new IllegalStateException("every JDK has SHA-256", ex);
+			throw new IllegalStateException("SHA-256 is required of every Java platform but is not available", ex);
 		}
 	}
 
--- a/src/main/java/io/shallotspur/ledger/KeyTime.java
+++ b/src/main/java/io/shallotspur/ledger/KeyTime.java
@@ -4,15 +4,15 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads the time that a caller's key carries. A key that does can be recognised as old
- * after its entry is gone, so it is refused and not run again. Three forms are read: a
- * UUID of version 7, a ULID, and 13 digits of Unix time in milliseconds followed by a
- * hyphen and anything.
+ * Extracts the timestamp from an idempotency key. A key with a timestamp can be
+ * recognised as expired after its entry was dropped, so the request is refused instead of
+ * being run again. Supported formats are UUID version 7, ULID, and a Unix time of 13
+ * digits in milliseconds followed by a hyphen and at least one more character.
  */
 public final class KeyTime {
 
 	/**
-	 * Stands for the time of a key that carries none.
+	 * Value for a key without a timestamp.
 	 */
 	public static final long NONE = -1;
 
@@ -21,33 +21,33 @@
 
 	private static final Pattern ULID = Pattern.compile("([0-7][0-9A-HJKMNP-TV-Z]{9})[0-9A-HJKMNP-TV-Z]{16}");
 
-	private static final Pattern MILLIS = Pattern.compile("([0-9]{13})-.+");
+	private static final Pattern MILLIS_PREFIX = Pattern.compile("([0-9]{13})-.+");
 
-	private static final String CROCKFORD = "0123456789ABCDEFGHJKMNPQRSTVWXYZ";
+	private static final String CROCKFORD_ALPHABET = "0123456789ABCDEFGHJKMNPQRSTVWXYZ";
 
 	private KeyTime() {
 	}
 
 	/**
-	 * Reads the time of a key.
+	 * Extracts the timestamp of a key.
 	 * @param key the caller's key
 	 * @return the Unix time in milliseconds, or {@link #NONE}
 	 */
 	public static long of(String key) {
-		Matcher m = UUID_V7.matcher(key);
-		if (m.matches()) {
-			return Long.parseLong(m.group(1) + m.group(2), 16);
+		Matcher matcher = UUID_V7.matcher(key);
+		if (matcher.matches()) {
+			return Long.parseLong(matcher.group(1) + matcher.group(2), 16);
 		}
-		m = MILLIS.matcher(key);
-		if (m.matches()) {
-			return Long.parseLong(m.group(1));
+		matcher = MILLIS_PREFIX.matcher(key);
+		if (matcher.matches()) {
+			return Long.parseLong(matcher.group(1));
 		}
-		m = ULID.matcher(key);
-		return m.matches() ? crockford(m.group(1)) : NONE;
+		matcher = ULID.matcher(key);
+		return matcher.matches() ? decodeCrockford(matcher.group(1)) : NONE;
 	}
 
-	private static long crockford(String s) {
-		return s.chars().mapToLong(CROCKFORD::indexOf).reduce(0, (a, b) -> (a << 5) | b);
+	private static long decodeCrockford(String text) {
+		return text.chars().mapToLong(CROCKFORD_ALPHABET::indexOf).reduce(0, (a, b) -> (a << 5) | b);
 	}
 
 }
--- a/src/main/java/io/shallotspur/ledger/LedgerEntry.java
+++ b/src/main/java/io/shallotspur/ledger/LedgerEntry.java
@@ -1,19 +1,19 @@
 package io.shallotspur.ledger;
 
 /**
- * What the ledger knows of one key. Immutable.
+ * Ledger entry of one idempotency key. Immutable.
  *
  * @param key the digest of the key
- * @param bodyHash hash of what is run under it
- * @param keyTime the time the key carries, or {@link KeyTime#NONE}
- * @param attempt whose claim it is
- * @param state how far it has come
+ * @param bodyHash hash of the request body
+ * @param keyTime the timestamp in the key in milliseconds, or {@link KeyTime#NONE}
+ * @param attempt the attempt that holds the claim
+ * @param state the state of the request
  */
 public record LedgerEntry(KeyDigest key, long bodyHash, long keyTime, Attempt attempt, EntryState state) {
 
 	/**
-	 * Returns the entry in another state.
-	 * @param state the other state
+	 * Returns a copy of this entry with another state.
+	 * @param state the new state
 	 * @return a new entry
 	 */
 	public LedgerEntry withState(EntryState state) {
--- a/src/main/java/io/shallotspur/ledger/LedgerLimits.java
+++ b/src/main/java/io/shallotspur/ledger/LedgerLimits.java
@@ -1,50 +1,55 @@
 package io.shallotspur.ledger;
 
 /**
- * Bounds of the ledger. All nodes of a deployment must have the same shards and window.
- * Immutable.
+ * Limits of the ledger. All nodes of a deployment must use the same shard counts and
+ * window. Immutable.
  *
- * @param timedShards shards for keys that carry their time
- * @param untimedShards shards for keys that do not; their entries are never dropped
- * @param timedSlots the most sealed segments of a timed shard
- * @param untimedSlots the most sealed segments of an untimed shard
- * @param sealThresholdBytes the head of a shard is sealed when it is larger, in bytes
- * @param maxBatchBytes the most that one write adds, in bytes
- * @param maxBatchEntries the most intents that one write adds
- * @param batchIntervalMs the least time between two writes of a shard by a node, in milliseconds
- * @param windowMs how long a timed key is remembered at least, in milliseconds
- * @param maxClockSkewMs how far the time of a key may be ahead, in milliseconds
- * @param maxInlineBytes the largest answer kept in the record, in bytes
+ * @param timedShards number of shards for keys with a timestamp
+ * @param untimedShards number of shards for keys without a timestamp, whose entries are
+ * never dropped
+ * @param timedSlots maximum number of sealed segments in a timed shard
+ * @param untimedSlots maximum number of sealed segments in an untimed shard
+ * @param sealThresholdBytes size at which the head of a shard is sealed, in bytes
+ * @param maxBatchBytes maximum size that one write adds, in bytes
+ * @param maxBatchEntries maximum number of intents that one write adds
+ * @param batchIntervalMs minimum time between two writes of a shard by the same node, in
+ * milliseconds
+ * @param windowMs minimum time for which a key with a timestamp is retained, in
+ * milliseconds
+ * @param maxClockSkewMs how far the timestamp of a key may be in the future, in
+ * milliseconds
+ * @param maxInlineBytes maximum size of an answer that is stored in the record, in bytes
  */
 public record LedgerLimits(int timedShards, int untimedShards, int timedSlots, int untimedSlots, int sealThresholdBytes,
-		int maxBatchBytes, int maxBatchEntries, long batchIntervalMs, long windowMs, long maxClockSkewMs, int maxInlineBytes) {
+		int maxBatchBytes, int maxBatchEntries, long batchIntervalMs, long windowMs, long maxClockSkewMs,
+		int maxInlineBytes) {
 
 	/**
-	 * 32 shards written at most every 100 ms: 320 writes a second at any request rate. A
-	 * window of ten minutes.
+	 * Default limits: 32 shards, each written at most every 100 ms, which bounds the load
+	 * to 320 writes per second at any request rate; the window is ten minutes.
 	 */
 	public static final LedgerLimits DEFAULT = new LedgerLimits(28, 4, 256, 512, 64 * 1024, 256 * 1024, 2_000, 100,
 			600_000, 60_000, 256);
 
-	private static final int UNTIMED_PART = 8;
+	private static final int SHARDS_PER_UNTIMED_SHARD = 8;
 
 	/**
-	 * Creates bounds from what operators set. One shard in eight is for keys without a
-	 * time.
-	 * @param shards the shards of both kinds, at least 2
-	 * @param batchMs the least time between two writes of a shard, in milliseconds
-	 * @param windowMs how long a timed key is remembered, in milliseconds
-	 * @return the bounds
+	 * Creates limits from the operator's settings. One shard in eight is reserved for
+	 * keys without a timestamp.
+	 * @param shards total number of shards, at least 2
+	 * @param batchMs minimum time between two writes of a shard, in milliseconds
+	 * @param windowMs how long a key with a timestamp is retained, in milliseconds
+	 * @return the limits
 	 */
 	public static LedgerLimits of(int shards, long batchMs, long windowMs) {
-		int untimed = Math.max(1, shards / UNTIMED_PART);
+		int untimed = Math.max(1, shards / SHARDS_PER_UNTIMED_SHARD);
 		return DEFAULT.withShards(shards - untimed, untimed)
 			.withBatch(batchMs, DEFAULT.maxBatchEntries)
 			.withSegments(DEFAULT.sealThresholdBytes, DEFAULT.timedSlots, windowMs);
 	}
 
 	/**
-	 * Returns the number of shards of both kinds.
+	 * Returns the total number of timed and untimed shards.
 	 * @return the number of shards
 	 */
 	public int shards() {
@@ -52,10 +57,10 @@
 	}
 
 	/**
-	 * Finds the shard of a key.
+	 * Returns the shard to which a key is assigned.
 	 * @param key the digest of the key
-	 * @param keyTime the time the key carries, or {@link KeyTime#NONE}
-	 * @return the shard, from 0
+	 * @param keyTime the timestamp in the key in milliseconds, or {@link KeyTime#NONE}
+	 * @return the shard index, from 0
 	 */
 	public int shardOf(KeyDigest key, long keyTime) {
 		return (keyTime != KeyTime.NONE) ? (int) Long.remainderUnsigned(key.hi(), this.timedShards)
@@ -63,8 +68,8 @@
 	}
 
 	/**
-	 * Returns how many sealed segments a shard may have.
-	 * @param shard the shard
+	 * Returns the maximum number of sealed segments in a shard.
+	 * @param shard the shard index
 	 * @return the number of segments
 	 */
 	public int slots(int shard) {
@@ -72,10 +77,10 @@
 	}
 
 	/**
-	 * Returns the same bounds with other batches.
-	 * @param batchMs the least time between two writes of a shard, in milliseconds
-	 * @param batchEntries the most intents in a write
-	 * @return new bounds
+	 * Returns a copy with other batch limits.
+	 * @param batchMs minimum time between two writes of a shard, in milliseconds
+	 * @param batchEntries maximum number of intents per write
+	 * @return the new limits
 	 */
 	public LedgerLimits withBatch(long batchMs, int batchEntries) {
 		return new LedgerLimits(this.timedShards, this.untimedShards, this.timedSlots, this.untimedSlots,
@@ -84,27 +89,29 @@
 	}
 
 	/**
-	 * Returns the same bounds with other shards.
-	 * @param timedShards shards for keys that carry their time
-	 * @param untimedShards shards for keys that do not
-	 * @return new bounds
+	 * Returns a copy with other shard counts.
+	 * @param timedShards number of shards for keys with a timestamp
+	 * @param untimedShards number of shards for keys without a timestamp
+	 * @return the new limits
 	 */
 	public LedgerLimits withShards(int timedShards, int untimedShards) {
 		return new LedgerLimits(timedShards, untimedShards, this.timedSlots, this.untimedSlots, this.sealThresholdBytes,
-				this.maxBatchBytes, this.maxBatchEntries, this.batchIntervalMs, this.windowMs, this.maxClockSkewMs, this.maxInlineBytes);
+				this.maxBatchBytes, this.maxBatchEntries, this.batchIntervalMs, this.windowMs, this.maxClockSkewMs,
+				this.maxInlineBytes);
 	}
 
 	/**
-	 * Returns the same bounds with other segments and another window.
-	 * @param segmentBytes the size at which a head is sealed, in bytes
-	 * @param slots the most sealed segments of a timed shard; an untimed one has twice as
-	 * many
-	 * @param windowMs how long a timed key is remembered, in milliseconds
-	 * @return new bounds
+	 * Returns a copy with other segment limits and another window.
+	 * @param segmentBytes size at which the head of a shard is sealed, in bytes
+	 * @param slots maximum number of sealed segments in a timed shard; an untimed shard
+	 * has twice as many
+	 * @param windowMs how long a key with a timestamp is retained, in milliseconds
+	 * @return the new limits
 	 */
 	public LedgerLimits withSegments(int segmentBytes, int slots, long windowMs) {
-		return new LedgerLimits(this.timedShards, this.untimedShards, slots, 2 * slots, segmentBytes, this.maxBatchBytes,
-				this.maxBatchEntries, this.batchIntervalMs, windowMs, this.maxClockSkewMs, this.maxInlineBytes);
+		return new LedgerLimits(this.timedShards, this.untimedShards, slots, 2 * slots, segmentBytes,
+				this.maxBatchBytes, this.maxBatchEntries, this.batchIntervalMs, windowMs, this.maxClockSkewMs,
+				this.maxInlineBytes);
 	}
 
 }
--- a/src/main/java/io/shallotspur/ledger/LedgerRefusals.java
+++ b/src/main/java/io/shallotspur/ledger/LedgerRefusals.java
@@ -4,9 +4,9 @@
 import io.shallotspur.outcome.RefusalCode;
 
 /**
- * The rule that turns what the ledger knows into what a caller is told. A caller is told
- * "not run" only if nothing of the key was or will be run as far as the ledger can know;
- * whenever it may have been run, the caller is told that the outcome is unknown.
+ * Maps ledger states to refusals. A refusal reports "not run" only if, as far as the
+ * ledger can know, no request with the key was or will be run. If one may have been run,
+ * the refusal reports an unknown outcome.
  */
 public final class LedgerRefusals {
 
@@ -14,15 +14,15 @@
 	}
 
 	/**
-	 * The store could not be reached in time; nothing was dispatched by this call. A key
-	 * that is older than a first try would be is taken for a resend, whose first try may
-	 * have been run.
-	 * @param maybeResend whether the key is that old
-	 * @param retryAfterMs when to come back, in milliseconds
+	 * Creates the refusal for a store that could not be reached in time; this call
+	 * dispatched nothing. A key too old for a first attempt is treated as that of a
+	 * retry, whose first attempt may have been run.
+	 * @param possibleRetry whether the key is too old for a first attempt
+	 * @param retryAfterMs delay before a retry, in milliseconds
 	 * @return the refusal
 	 */
-	public static Refusal storeUnavailable(boolean maybeResend, long retryAfterMs) {
-		if (maybeResend) {
+	public static Refusal storeUnavailable(boolean possibleRetry, long retryAfterMs) {
+		if (possibleRetry) {
 			return Refusal.outcomeUnknown(RefusalCode.STORE_UNAVAILABLE,
 					"This call was not run. Whether an earlier one with this key was run cannot be read now; "
 							+ "send it again with the same key.");
@@ -33,7 +33,8 @@
 	}
 
 	/**
-	 * An earlier call with the key may have been run and its answer is lost.
+	 * Creates the refusal for a key whose earlier call may have been run and whose answer
+	 * is lost.
 	 * @return the refusal
 	 */
 	public static Refusal outcomeUnknown() {
@@ -42,7 +43,7 @@
 	}
 
 	/**
-	 * An earlier call with the key is still running.
+	 * Creates the refusal for a key whose earlier call is still running.
 	 * @return the refusal
 	 */
 	public static Refusal stillRunning() {
@@ -51,7 +52,8 @@
 	}
 
 	/**
-	 * The key was answered and the answer is gone.
+	 * Creates the refusal for a request that was answered but whose answer is no longer
+	 * retained.
 	 * @return the refusal
 	 */
 	public static Refusal answerNotRetained() {
@@ -60,8 +62,8 @@
 	}
 
 	/**
-	 * The key cannot be used.
-	 * @param code why
+	 * Creates the refusal for a key that cannot be used.
+	 * @param code the reason
 	 * @return the refusal
 	 */
 	public static Refusal denied(RefusalCode code) {
--- a/src/main/java/io/shallotspur/ledger/Segment.java
+++ b/src/main/java/io/shallotspur/ledger/Segment.java
@@ -3,19 +3,20 @@
 import java.util.Map;
 
 /**
- * A sealed part of a shard: entries that are not written again. Immutable; the map must
- * not be changed after construction.
+ * Sealed part of a shard, whose entries are never modified. Immutable; the map must not
+ * be changed after construction.
  *
- * @param ref its name
+ * @param ref the reference that identifies it
  * @param entries the entries by key
  */
 public record Segment(SegmentRef ref, Map<KeyDigest, LedgerEntry> entries) {
 
 	/**
-	 * Tells whether this segment may be overwritten in its slot by another one. A writer
-	 * that was paused must not overwrite what the head refers to by now.
-	 * @param other the segment to be written
-	 * @return {@code true} if the other one is newer
+	 * Checks whether another segment may overwrite this one in its slot. A writer that
+	 * resumes after a pause must not overwrite a newer segment to which the head refers
+	 * by then.
+	 * @param other reference of the segment to be written
+	 * @return {@code true} if the other segment is newer
 	 */
 	public boolean isOlderThan(SegmentRef other) {
 		return this.ref.sequence() < other.sequence()
--- a/src/main/java/io/shallotspur/ledger/SegmentRef.java
+++ b/src/main/java/io/shallotspur/ledger/SegmentRef.java
@@ -1,11 +1,12 @@
 package io.shallotspur.ledger;
 
 /**
- * Names a sealed segment in the head of its shard. Immutable.
+ * Reference to a sealed segment in the head of its shard. Immutable.
  *
- * @param sequence its number in the shard
- * @param headVersion the version of the head it was sealed from
- * @param maxKeyTime the latest time that a key in it carries, or {@link KeyTime#NONE}
+ * @param sequence sequence number of the segment in its shard
+ * @param headVersion store version of the head from which it was sealed
+ * @param maxKeyTime latest key timestamp in the segment, in milliseconds, or
+ * {@link KeyTime#NONE} if it contains a key without one
  */
 public record SegmentRef(long sequence, long headVersion, long maxKeyTime) {
 
--- a/src/main/java/io/shallotspur/ledger/Shard.java
+++ b/src/main/java/io/shallotspur/ledger/Shard.java
@@ -13,17 +13,18 @@
 import io.shallotspur.outcome.RefusalCode;
 
 /**
- * One shard of the ledger as a state machine: the head and its sealed segments. Immutable
- * and thread-safe.
+ * One shard of the ledger as a state machine over its head and its sealed segments.
+ * Immutable and thread-safe.
  * <p>
- * Invariants: a key is free only if no entry of it is in the head or in a segment, or its
- * last attempt was surely not run, and the key is not older than what was dropped; an
- * entry changes its attempt only from {@link EntryState.NotStarted}. The head alone is
- * written by compare-and-swap, so these hold for every order of writers.
+ * Invariants: a key is unclaimed only if neither the head nor a segment has an entry for
+ * it, or its last attempt was definitely not run, and the key is newer than all dropped
+ * keys; the attempt of an entry changes only from the state
+ * {@link EntryState.NotStarted}. Only the head is written by compare-and-swap, so these
+ * invariants hold for any interleaving of writers.
  */
 public final class Shard {
 
-	private static final int ENTRY_BYTES = 72;
+	private static final int MAX_ENTRY_BYTES = 72;
 
 	private static final int MAX_HEAD_BYTES = 512 * 1024;
 
@@ -39,10 +40,10 @@
 
 	/**
 	 * Creates a shard.
-	 * @param limits the bounds of the ledger
-	 * @param slots the most sealed segments
+	 * @param limits the limits of the ledger
+	 * @param slots the maximum number of sealed segments
 	 * @param head the head
-	 * @param sealed all segments that the head names; others are ignored
+	 * @param sealed all segments to which the head refers; others are ignored
 	 */
 	public Shard(LedgerLimits limits, int slots, ShardHead head, Map<SegmentRef, Segment> sealed) {
 		this.limits = limits;
@@ -54,8 +55,8 @@
 
 	/**
 	 * Creates a shard that was never written.
-	 * @param limits the bounds of the ledger
-	 * @param slots the most sealed segments
+	 * @param limits the limits of the ledger
+	 * @param slots the maximum number of sealed segments
 	 * @return the shard
 	 */
 	public static Shard empty(LedgerLimits limits, int slots) {
@@ -79,7 +80,7 @@
 	}
 
 	/**
-	 * Finds what is known of a key.
+	 * Finds the entry of a key.
 	 * @param key the digest of the key
 	 * @return the latest entry, or empty
 	 */
@@ -93,43 +94,49 @@
 	}
 
 	/**
-	 * Says what is to be done with an intent.
+	 * Evaluates an intent against this shard.
 	 * @param i the intent
-	 * @param now the present time in milliseconds
-	 * @return the verdict; {@link ClaimResult.Unclaimed} promises nothing until it is committed
+	 * @param now the current time in milliseconds
+	 * @return the result; {@link ClaimResult.Unclaimed} guarantees nothing until the
+	 * intent is committed
 	 */
 	public ClaimResult decide(Intent i, long now) {
 		LedgerEntry e = find(i.key()).orElse(null);
 		if (e != null && e.attempt().equals(i.attempt())) {
-			return (e.state() instanceof EntryState.InFlight) ? new ClaimResult.Granted() : new ClaimResult.AlreadyClaimed(e);
+			return (e.state() instanceof EntryState.InFlight) ? new ClaimResult.Granted()
+					: new ClaimResult.AlreadyClaimed(e);
 		}
 		if (e != null && !(e.state() instanceof EntryState.NotStarted)) {
-			return (e.bodyHash() == i.bodyHash()) ? new ClaimResult.AlreadyClaimed(e) : new ClaimResult.Denied(RefusalCode.KEY_REUSED);
+			return (e.bodyHash() == i.bodyHash()) ? new ClaimResult.AlreadyClaimed(e)
+					: new ClaimResult.Denied(RefusalCode.KEY_REUSED);
 		}
-		return decideFree(i, now);
+		return decideUnclaimed(i, now);
 	}
 
 	/**
-	 * Applies ends of attempts. An end of an attempt that does not hold its key changes
-	 * nothing.
-	 * @param ends the ends
+	 * Applies the results of attempts. The result of an attempt that does not hold the
+	 * claim on its key is ignored.
+	 * @param results the results
 	 * @return this or a new shard
 	 */
-	public Shard withAttemptResults(Collection<AttemptResult> ends) {
+	public Shard withAttemptResults(Collection<AttemptResult> results) {
 		Map<KeyDigest, LedgerEntry> m = null;
-		for (AttemptResult end : ends) {
-			LedgerEntry e = (m != null && m.containsKey(end.key())) ? m.get(end.key()) : find(end.key()).orElse(null);
-			if (e != null && e.attempt().equals(end.attempt()) && e.state().canTransitionTo(end.state()) && hasRoomFor(end)) {
+		for (AttemptResult result : results) {
+			LedgerEntry e = (m != null && m.containsKey(result.key())) ? m.get(result.key())
+					: find(result.key()).orElse(null);
+			if (e != null && e.attempt().equals(result.attempt()) && e.state().canTransitionTo(result.state())
+					&& hasRoomFor(result)) {
 				m = (m != null) ? m : new HashMap<>(this.head.entries());
-				m.put(end.key(), e.withState(end.state()));
+				m.put(result.key(), e.withState(result.state()));
 			}
 		}
 		return (m != null) ? withEntries(m) : this;
 	}
 
 	/**
-	 * Applies intents that are {@link ClaimResult.Unclaimed}. The result is what is to be written.
-	 * @param intents the intents, one a key
+	 * Adds intents whose result was {@link ClaimResult.Unclaimed}. The returned shard is
+	 * to be written to the store.
+	 * @param intents the intents, at most one per key
 	 * @return a new shard
 	 */
 	public Shard withIntents(Collection<Intent> intents) {
@@ -139,37 +146,38 @@
 	}
 
 	/**
-	 * Makes the shard ready to be written: notes the batch and drops what is older than
-	 * the window.
-	 * @param batch names the write
-	 * @param now the present time in milliseconds
+	 * Prepares the shard for a write: adds the batch id and drops segments that are older
+	 * than the window.
+	 * @param batch the id of the write
+	 * @param now the current time in milliseconds
 	 * @return a new shard
 	 */
 	public Shard withBatch(BatchId batch, long now) {
 		List<BatchId> b = new ArrayList<>(this.head.batches());
 		b.add(batch);
-		List<BatchId> late = b.subList(Math.max(0, b.size() - ShardHead.MAX_BATCHES), b.size());
-		List<SegmentRef> kept = new ArrayList<>();
-		long floor = this.head.keyTimeWatermark();
+		List<BatchId> latest = b.subList(Math.max(0, b.size() - ShardHead.MAX_BATCHES), b.size());
+		List<SegmentRef> retained = new ArrayList<>();
+		long watermark = this.head.keyTimeWatermark();
 		for (SegmentRef r : this.head.segments()) {
-			if (isDroppable(r, now)) {
-				// The floor is in the record, so a node whose clock lags refuses the
-				// dropped keys too and does not run them again.
-				floor = Math.max(floor, r.maxKeyTime());
+			if (isExpired(r, now)) {
+				// The watermark is stored in the head, so that a node whose clock lags
+				// also
+				// refuses the dropped keys instead of running them again.
+				watermark = Math.max(watermark, r.maxKeyTime());
 			}
 			else {
-				kept.add(r);
+				retained.add(r);
 			}
 		}
-		ShardHead h = new ShardHead(this.head.sequence(), floor, kept, late, this.head.entries());
+		ShardHead h = new ShardHead(this.head.sequence(), watermark, retained, latest, this.head.entries());
 		Map<SegmentRef, Segment> s = new HashMap<>(this.sealedSegments);
-		s.keySet().retainAll(kept);
+		s.keySet().retainAll(retained);
 		return new Shard(this.limits, this.slots, h, s);
 	}
 
 	/**
-	 * Tells whether a write took effect.
-	 * @param batch names the write
+	 * Checks whether a write took effect.
+	 * @param batch the id of the write
 	 * @return {@code true} if it is among the latest writes
 	 */
 	public boolean hasBatch(BatchId batch) {
@@ -177,18 +185,20 @@
 	}
 
 	/**
-	 * Tells whether the head is so large that it is to be sealed before the next write.
-	 * @return {@code true} if it is and there is a slot to seal it to
+	 * Checks whether the head has reached the size at which it must be sealed before the
+	 * next write.
+	 * @return {@code true} if it must be sealed and a slot is available
 	 */
 	public boolean shouldSeal() {
-		// A slot that the stored head still names is not free, even if what is in it is
-		// old: a reader in between would find another segment than the one named.
-		return this.headBytes >= this.limits.sealThresholdBytes() && !isSlotNamed((r) -> true);
+		// A slot to which the stored head still refers is not available, even if its
+		// segment has expired: a concurrent reader would find a segment other than the
+		// referenced one.
+		return this.headBytes >= this.limits.sealThresholdBytes() && !isSlotReferenced((r) -> true);
 	}
 
 	/**
 	 * Returns the head as a segment.
-	 * @param epoch the version of the head in the store
+	 * @param epoch the store version of the head
 	 * @return the segment
 	 */
 	public Segment toSegment(long epoch) {
@@ -199,8 +209,8 @@
 	}
 
 	/**
-	 * Returns the shard with its head sealed and an empty head.
-	 * @param s what {@link #toSegment} returned, stored by now
+	 * Returns the shard after its head was sealed, with an empty head.
+	 * @param s the segment returned by {@link #toSegment}, already stored
 	 * @return a new shard
 	 */
 	public Shard withSealedHead(Segment s) {
@@ -214,18 +224,18 @@
 	}
 
 	/**
-	 * Returns the slot of the store that a segment is kept in.
-	 * @param r the segment
-	 * @return the slot, from 0
+	 * Returns the store slot of a segment.
+	 * @param r the reference of the segment
+	 * @return the slot index, from 0
 	 */
 	public int slotOf(SegmentRef r) {
 		return (int) (r.sequence() % this.slots);
 	}
 
 	/**
-	 * Estimates what an end adds to the head, from above.
-	 * @param e the end
-	 * @return its size in bytes
+	 * Returns an upper bound on the size that a result adds to the head.
+	 * @param e the result
+	 * @return the upper bound in bytes
 	 */
 	public static int sizeOf(AttemptResult e) {
 		return sizeOf(e.state());
@@ -233,17 +243,17 @@
 
 	private static int sizeOf(EntryState s) {
 		byte @Nullable [] a = (s instanceof EntryState.Answered answered) ? answered.answer() : null;
-		return ENTRY_BYTES + ((a != null) ? a.length : 0);
+		return MAX_ENTRY_BYTES + ((a != null) ? a.length : 0);
 	}
 
-	private boolean hasRoomFor(AttemptResult end) {
-		// A shard whose slots are all taken cannot be sealed. Ends of sealed entries
-		// would make its head grow beyond what the store holds; those entries stay as
-		// they are.
-		return this.headBytes < MAX_HEAD_BYTES || this.head.entries().containsKey(end.key());
+	private boolean hasRoomFor(AttemptResult result) {
+		// A shard without an available slot cannot be sealed. Results of sealed entries
+		// would make its head grow beyond the store's value size limit, so those entries
+		// keep their state.
+		return this.headBytes < MAX_HEAD_BYTES || this.head.entries().containsKey(result.key());
 	}
 
-	private ClaimResult decideFree(Intent i, long now) {
+	private ClaimResult decideUnclaimed(Intent i, long now) {
 		long t = i.keyTime();
 		if (t != KeyTime.NONE && (t <= this.head.keyTimeWatermark() || t + this.limits.windowMs() <= now)) {
 			return new ClaimResult.Denied(RefusalCode.KEY_EXPIRED);
@@ -251,20 +261,20 @@
 		if (t != KeyTime.NONE && t > now + this.limits.maxClockSkewMs()) {
 			return new ClaimResult.Denied(RefusalCode.MALFORMED_REQUEST);
 		}
-		if (this.headBytes >= this.limits.sealThresholdBytes() && isSlotNamed((r) -> !isDroppable(r, now))) {
+		if (this.headBytes >= this.limits.sealThresholdBytes() && isSlotReferenced((r) -> !isExpired(r, now))) {
 			return new ClaimResult.Denied((t != KeyTime.NONE) ? RefusalCode.QUEUE_FULL : RefusalCode.KEY_REQUIRED);
 		}
 		return new ClaimResult.Unclaimed();
 	}
 
-	private boolean isSlotNamed(Predicate<SegmentRef> counts) {
-		// Overwriting a slot that is still named would forget its keys and run them
-		// again.
+	private boolean isSlotReferenced(Predicate<SegmentRef> filter) {
+		// Overwriting a slot that is still referenced would lose its keys, and their
+		// requests would be run again.
 		long first = this.head.sequence() - this.slots;
-		return this.head.segments().stream().filter(counts).anyMatch((r) -> r.sequence() <= first);
+		return this.head.segments().stream().filter(filter).anyMatch((r) -> r.sequence() <= first);
 	}
 
-	private boolean isDroppable(SegmentRef r, long now) {
+	private boolean isExpired(SegmentRef r, long now) {
 		return r.maxKeyTime() != KeyTime.NONE && r.maxKeyTime() + this.limits.windowMs() <= now;
 	}
 
--- a/src/main/java/io/shallotspur/ledger/ShardCodec.java
+++ b/src/main/java/io/shallotspur/ledger/ShardCodec.java
@@ -14,8 +14,8 @@
 import io.shallotspur.exc.InputException;
 
 /**
- * Turns heads and segments into MessagePack and back. Attempts name their node by an
- * index into a table at the front. Stateless and thread-safe.
+ * Encodes shard heads and segments as MessagePack. Attempts refer to their node by an
+ * index into a table that precedes the entries. Stateless and thread-safe.
  */
 public final class ShardCodec {
 
@@ -40,21 +40,21 @@
 	 * @return its bytes
 	 */
 	public static byte[] encode(ShardHead h) {
-		try (MessageBufferPacker p = MessagePack.newDefaultBufferPacker()) {
-			p.packInt(FORMAT).packLong(h.sequence()).packLong(h.keyTimeWatermark());
-			p.packArrayHeader(h.segments().size());
+		try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
+			packer.packInt(FORMAT).packLong(h.sequence()).packLong(h.keyTimeWatermark());
+			packer.packArrayHeader(h.segments().size());
 			for (SegmentRef r : h.segments()) {
-				packRef(p, r);
+				packRef(packer, r);
 			}
-			p.packArrayHeader(h.batches().size());
+			packer.packArrayHeader(h.batches().size());
 			for (BatchId b : h.batches()) {
-				p.packString(b.node()).packLong(b.incarnation()).packLong(b.number());
+				packer.packString(b.node()).packLong(b.incarnation()).packLong(b.number());
 			}
-			packEntries(p, h.entries());
-			return p.toByteArray();
+			packEntries(packer, h.entries());
+			return packer.toByteArray();
 		}
 		catch (IOException ex) {
-			throw new IllegalStateException("a buffer in memory does no input or output", ex);
+			throw new IllegalStateException("packing into a memory buffer failed", ex);
 		}
 	}
 
@@ -64,131 +64,132 @@
 	 * @return its bytes
 	 */
 	public static byte[] encode(Segment s) {
-		try (MessageBufferPacker p = MessagePack.newDefaultBufferPacker()) {
-			p.packInt(FORMAT);
-			packRef(p, s.ref());
-			packEntries(p, s.entries());
-			return p.toByteArray();
+		try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
+			packer.packInt(FORMAT);
+			packRef(packer, s.ref());
+			packEntries(packer, s.entries());
+			return packer.toByteArray();
 		}
 		catch (IOException ex) {
-			throw new IllegalStateException("a buffer in memory does no input or output", ex);
+			throw new IllegalStateException("packing into a memory buffer failed", ex);
 		}
 	}
 
 	/**
 	 * Decodes a head.
-	 * @param bytes what {@link #encode(ShardHead)} returned
+	 * @param bytes bytes returned by {@link #encode(ShardHead)}
 	 * @return the head
-	 * @throws InputException if the bytes are no head of this format
+	 * @throws InputException if the bytes are not a head in this format
 	 */
 	public static ShardHead decodeHead(byte[] bytes) throws InputException {
-		try (MessageUnpacker u = MessagePack.newDefaultUnpacker(bytes)) {
-			checkFormat(u);
-			long sequence = u.unpackLong();
-			long floor = u.unpackLong();
+		try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
+			checkFormat(unpacker);
+			long sequence = unpacker.unpackLong();
+			long floor = unpacker.unpackLong();
 			List<SegmentRef> refs = new ArrayList<>();
-			for (int n = u.unpackArrayHeader(); n > 0; n--) {
-				refs.add(unpackRef(u));
+			for (int n = unpacker.unpackArrayHeader(); n > 0; n--) {
+				refs.add(unpackRef(unpacker));
 			}
 			List<BatchId> batches = new ArrayList<>();
-			for (int n = u.unpackArrayHeader(); n > 0; n--) {
-				batches.add(new BatchId(u.unpackString(), u.unpackLong(), u.unpackLong()));
+			for (int n = unpacker.unpackArrayHeader(); n > 0; n--) {
+				batches.add(new BatchId(unpacker.unpackString(), unpacker.unpackLong(), unpacker.unpackLong()));
 			}
-			return new ShardHead(sequence, floor, refs, batches, unpackEntries(u));
+			return new ShardHead(sequence, floor, refs, batches, unpackEntries(unpacker));
 		}
 		catch (IOException | RuntimeException ex) {
-			throw new InputException("the record is no ledger head of a known format", null, ex);
+			throw new InputException("the record is not a ledger head in a known format", null, ex);
 		}
 	}
 
 	/**
 	 * Decodes a segment.
-	 * @param bytes what {@link #encode(Segment)} returned
+	 * @param bytes bytes returned by {@link #encode(Segment)}
 	 * @return the segment
-	 * @throws InputException if the bytes are no segment of this format
+	 * @throws InputException if the bytes are not a segment in this format
 	 */
 	public static Segment decodeSegment(byte[] bytes) throws InputException {
-		try (MessageUnpacker u = MessagePack.newDefaultUnpacker(bytes)) {
-			checkFormat(u);
-			return new Segment(unpackRef(u), unpackEntries(u));
+		try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
+			checkFormat(unpacker);
+			return new Segment(unpackRef(unpacker), unpackEntries(unpacker));
 		}
 		catch (IOException | RuntimeException ex) {
-			throw new InputException("the record is no ledger segment of a known format", null, ex);
+			throw new InputException("the record is not a ledger segment in a known format", null, ex);
 		}
 	}
 
-	private static void checkFormat(MessageUnpacker u) throws IOException {
-		int f = u.unpackInt();
-		if (f != FORMAT) {
-			throw new IOException("format " + f + " is not known");
+	private static void checkFormat(MessageUnpacker unpacker) throws IOException {
+		int format = unpacker.unpackInt();
+		if (format != FORMAT) {
+			throw new IOException("unknown ledger format " + format);
 		}
 	}
 
-	private static void packRef(MessageBufferPacker p, SegmentRef r) throws IOException {
-		p.packLong(r.sequence()).packLong(r.headVersion()).packLong(r.maxKeyTime());
+	private static void packRef(MessageBufferPacker packer, SegmentRef r) throws IOException {
+		packer.packLong(r.sequence()).packLong(r.headVersion()).packLong(r.maxKeyTime());
 	}
 
-	private static SegmentRef unpackRef(MessageUnpacker u) throws IOException {
-		return new SegmentRef(u.unpackLong(), u.unpackLong(), u.unpackLong());
+	private static SegmentRef unpackRef(MessageUnpacker unpacker) throws IOException {
+		return new SegmentRef(unpacker.unpackLong(), unpacker.unpackLong(), unpacker.unpackLong());
 	}
 
-	private static void packEntries(MessageBufferPacker p, Map<KeyDigest, LedgerEntry> entries) throws IOException {
+	private static void packEntries(MessageBufferPacker packer, Map<KeyDigest, LedgerEntry> entries)
+			throws IOException {
 		Map<Owner, Integer> owners = new LinkedHashMap<>();
 		entries.values().forEach((e) -> owners.putIfAbsent(Owner.of(e.attempt()), owners.size()));
-		p.packArrayHeader(owners.size());
-		for (Owner o : owners.keySet()) {
-			p.packString(o.node()).packLong(o.incarnation());
+		packer.packArrayHeader(owners.size());
+		for (Owner owner : owners.keySet()) {
+			packer.packString(owner.node()).packLong(owner.incarnation());
 		}
-		p.packArrayHeader(entries.size());
+		packer.packArrayHeader(entries.size());
 		for (LedgerEntry e : entries.values()) {
-			p.packLong(e.key().hi()).packLong(e.key().lo()).packLong(e.bodyHash()).packLong(e.keyTime());
-			p.packInt(owners.get(Owner.of(e.attempt()))).packLong(e.attempt().sequence());
-			packState(p, e.state());
+			packer.packLong(e.key().hi()).packLong(e.key().lo()).packLong(e.bodyHash()).packLong(e.keyTime());
+			packer.packInt(owners.get(Owner.of(e.attempt()))).packLong(e.attempt().sequence());
+			packState(packer, e.state());
 		}
 	}
 
-	private static Map<KeyDigest, LedgerEntry> unpackEntries(MessageUnpacker u) throws IOException {
+	private static Map<KeyDigest, LedgerEntry> unpackEntries(MessageUnpacker unpacker) throws IOException {
 		List<Owner> owners = new ArrayList<>();
-		for (int n = u.unpackArrayHeader(); n > 0; n--) {
-			owners.add(new Owner(u.unpackString(), u.unpackLong()));
+		for (int n = unpacker.unpackArrayHeader(); n > 0; n--) {
+			owners.add(new Owner(unpacker.unpackString(), unpacker.unpackLong()));
 		}
-		int n = u.unpackArrayHeader();
+		int n = unpacker.unpackArrayHeader();
 		Map<KeyDigest, LedgerEntry> m = new HashMap<>(n * 2);
 		for (int i = 0; i < n; i++) {
-			KeyDigest key = new KeyDigest(u.unpackLong(), u.unpackLong());
-			long body = u.unpackLong();
-			long time = u.unpackLong();
-			Owner o = owners.get(u.unpackInt());
-			Attempt a = new Attempt(o.node(), o.incarnation(), u.unpackLong());
-			m.put(key, new LedgerEntry(key, body, time, a, unpackState(u)));
+			KeyDigest key = new KeyDigest(unpacker.unpackLong(), unpacker.unpackLong());
+			long body = unpacker.unpackLong();
+			long time = unpacker.unpackLong();
+			Owner owner = owners.get(unpacker.unpackInt());
+			Attempt a = new Attempt(owner.node(), owner.incarnation(), unpacker.unpackLong());
+			m.put(key, new LedgerEntry(key, body, time, a, unpackState(unpacker)));
 		}
 		return m;
 	}
 
-	private static void packState(MessageBufferPacker p, EntryState s) throws IOException {
+	private static void packState(MessageBufferPacker packer, EntryState s) throws IOException {
 		if (s instanceof EntryState.Answered a && a.answer() != null) {
-			p.packInt(ANSWERED_INLINE).packBinaryHeader(a.answer().length).writePayload(a.answer());
+			packer.packInt(ANSWERED_INLINE).packBinaryHeader(a.answer().length).writePayload(a.answer());
 		}
 		else if (s instanceof EntryState.Answered) {
-			p.packInt(ANSWERED);
+			packer.packInt(ANSWERED);
 		}
 		else if (s instanceof EntryState.InFlight) {
-			p.packInt(IN_FLIGHT);
+			packer.packInt(IN_FLIGHT);
 		}
 		else {
-			p.packInt((s instanceof EntryState.Unknown) ? UNKNOWN : NOT_STARTED);
+			packer.packInt((s instanceof EntryState.Unknown) ? UNKNOWN : NOT_STARTED);
 		}
 	}
 
-	private static EntryState unpackState(MessageUnpacker u) throws IOException {
-		int code = u.unpackInt();
+	private static EntryState unpackState(MessageUnpacker unpacker) throws IOException {
+		int code = unpacker.unpackInt();
 		return switch (code) {
 			case NOT_STARTED -> new EntryState.NotStarted();
 			case IN_FLIGHT -> new EntryState.InFlight();
 			case ANSWERED -> new EntryState.Answered(null);
-			case ANSWERED_INLINE -> new EntryState.Answered(u.readPayload(u.unpackBinaryHeader()));
+			case ANSWERED_INLINE -> new EntryState.Answered(unpacker.readPayload(unpacker.unpackBinaryHeader()));
 			case UNKNOWN -> new EntryState.Unknown();
-			default -> throw new IOException("state " + code + " is not known");
+			default -> throw new IOException("unknown entry state " + code);
 		};
 	}
 
--- a/src/main/java/io/shallotspur/ledger/package-info.java
+++ b/src/main/java/io/shallotspur/ledger/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The record of intents that makes a request run at most once. An intent is in the
- * platform's store before the request is dispatched, written by compare-and-swap.
+ * Ledger of intents, which ensures that each request with an idempotency key runs at most
+ * once. An intent is written to the platform's store by compare-and-swap before the
+ * request is dispatched.
  */
 @NullMarked
 package io.shallotspur.ledger;
--- a/src/test/java/io/shallotspur/ledger/ShardPropertyTests.java
+++ b/src/test/java/io/shallotspur/ledger/ShardPropertyTests.java
@@ -17,8 +17,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Interleaves writers that read, write, seal, pause, lose answers and crash, and holds
- * that no key is run twice.
+ * Interleaves writers that read, write, seal, pause, lose responses and crash, and
+ * asserts that no key is run twice.
  */
 class ShardPropertyTests {
 
@@ -49,11 +49,11 @@
 
 		private final List<Writer> writers = new ArrayList<>();
 
-		private final List<Runnable> delayed = new ArrayList<>();
+		private final List<Runnable> delayedWrites = new ArrayList<>();
 
 		private long now = 1_000;
 
-		private long attempts;
+		private long nextAttempt;
 
 		private History() {
 			for (int i = 0; i < WRITERS; i++) {
@@ -79,27 +79,27 @@
 				case 7 -> w.end(key, fault);
 				case 8 -> w.seal(fault);
 				case 9 -> w.crash();
-				case 10 -> pass(key * 4L);
-				default -> landDelayed();
+				case 10 -> advance(key * 4L);
+				default -> applyDelayedWrites();
 			}
 		}
 
-		private void pass(long ms) {
+		private void advance(long ms) {
 			this.now += ms;
 		}
 
-		private void landDelayed() {
-			List.copyOf(this.delayed).forEach(Runnable::run);
-			this.delayed.clear();
+		private void applyDelayedWrites() {
+			List.copyOf(this.delayedWrites).forEach(Runnable::run);
+			this.delayedWrites.clear();
 		}
 
-		private boolean cas(String key, long expected, byte[] value, int fault) {
+		private boolean compareAndSwap(String key, long expected, byte[] value, int fault) {
 			if (fault == 1) {
 				return false;
 			}
 			if (fault == 2) {
-				// The answer is lost now and the write lands later.
-				this.delayed.add(() -> cas(key, expected, value, 0));
+				// The response is lost and the write takes effect later.
+				this.delayedWrites.add(() -> compareAndSwap(key, expected, value, 0));
 				return false;
 			}
 			if (this.versions.getOrDefault(key, 0L) != expected) {
@@ -122,7 +122,7 @@
 
 			private final List<Intent> pending = new ArrayList<>();
 
-			private final List<AttemptResult> ends = new ArrayList<>();
+			private final List<AttemptResult> results = new ArrayList<>();
 
 			private final Map<Attempt, Intent> running = new HashMap<>();
 
@@ -133,7 +133,8 @@
 			void begin(int key) throws InputException {
 				KeyDigest k = new KeyDigest(0, key);
 				long time = 990 + key * 10L;
-				Intent i = new Intent(k, key, time, new Attempt(this.name, this.incarnation, History.this.attempts++));
+				Intent i = new Intent(k, key, time,
+						new Attempt(this.name, this.incarnation, History.this.nextAttempt++));
 				this.pending.add(i);
 				decide();
 			}
@@ -142,7 +143,7 @@
 				if (this.shard == null) {
 					load();
 				}
-				Shard base = this.shard.withAttemptResults(this.ends);
+				Shard base = this.shard.withAttemptResults(this.results);
 				for (Intent i : List.copyOf(this.pending)) {
 					ClaimResult v = base.decide(i, History.this.now);
 					if (v instanceof ClaimResult.Unclaimed) {
@@ -160,14 +161,14 @@
 				decide();
 				Map<KeyDigest, Intent> first = new HashMap<>();
 				this.pending.forEach((i) -> first.putIfAbsent(i.key(), i));
-				Shard next = this.shard.withAttemptResults(this.ends)
+				Shard next = this.shard.withAttemptResults(this.results)
 					.withIntents(first.values())
 					.withBatch(new BatchId(this.name, this.incarnation, 0), History.this.now);
 				byte[] bytes = ShardCodec.encode(next.head());
-				if (cas("head", this.version, bytes, fault)) {
+				if (compareAndSwap("head", this.version, bytes, fault)) {
 					this.version++;
 					this.shard = next;
-					this.ends.clear();
+					this.results.clear();
 				}
 				else {
 					this.shard = null;
@@ -185,7 +186,8 @@
 				Segment o = (old != null) ? ShardCodec.decodeSegment(old) : null;
 				boolean done = o != null && o.ref().equals(s.ref());
 				long v = History.this.versions.getOrDefault(slot, 0L);
-				if (!done && ((o != null && !o.isOlderThan(s.ref())) || !cas(slot, v, ShardCodec.encode(s), fault))) {
+				if (!done && ((o != null && !o.isOlderThan(s.ref()))
+						|| !compareAndSwap(slot, v, ShardCodec.encode(s), fault))) {
 					this.shard = null;
 					return;
 				}
@@ -204,7 +206,7 @@
 						if (fault == 1) {
 							History.this.runs.merge(i.key(), -1, Integer::sum);
 						}
-						this.ends.add(new AttemptResult(i.key(), i.attempt(), s));
+						this.results.add(new AttemptResult(i.key(), i.attempt(), s));
 					}
 				}
 			}
@@ -213,7 +215,7 @@
 				this.incarnation++;
 				this.shard = null;
 				this.pending.clear();
-				this.ends.clear();
+				this.results.clear();
 				this.running.clear();
 			}
 
@@ -225,7 +227,7 @@
 				for (SegmentRef ref : r.segments()) {
 					byte[] b = History.this.store.get("slot" + ref.sequence() % 4);
 					Segment s = ShardCodec.decodeSegment(b);
-					assertThat(s.ref()).as("the head names what its slot holds").isEqualTo(ref);
+					assertThat(s.ref()).as("the slot holds the segment to which the head refers").isEqualTo(ref);
 					sealed.put(ref, s);
 				}
 				this.shard = new Shard(LIMITS, 4, r, sealed);
--- a/src/test/java/io/shallotspur/ledger/ShardTests.java
+++ b/src/test/java/io/shallotspur/ledger/ShardTests.java
@@ -18,7 +18,7 @@
 	private static final LedgerLimits LIMITS = LedgerLimits.DEFAULT;
 
 	@Test
-	void keysTellTheirTime() {
+	void extractsTimestampsFromKeys() {
 		assertThat(KeyTime.of("01890a5d-ac96-774b-bcce-b302099a8057")).isEqualTo(0x01890a5dac96L);
 		assertThat(KeyTime.of("01ARZ3NDEKTSV4RRFFQ69G5FAV")).isEqualTo(1469922850259L);
 		assertThat(KeyTime.of("1790000000000-renewal-7")).isEqualTo(1790000000000L);
@@ -29,8 +29,9 @@
 
 	@Test
 	void keyOlderThanTheWindowIsRefusedAndNotRunAgain() {
-		// A kiosk resends a key-encoding an hour later, when its entry is gone. Run
-		// again, it would issue a second live key.
+		// A kiosk resends a key-card encoding request an hour later, after its ledger
+		// entry
+		// was dropped. Running it again would issue a second valid key.
 		Shard s = Shard.empty(LIMITS, 128);
 		ClaimResult v = s.decide(intent(1, 1_000, 1), 1_000 + LIMITS.windowMs());
 		assertThat(v).isEqualTo(new ClaimResult.Denied(RefusalCode.KEY_EXPIRED));
@@ -39,9 +40,9 @@
 	}
 
 	@Test
-	void droppedKeysStayRefusedWhenAClockLags() {
-		// One node's clock is ahead and drops a segment; the next node's clock still says
-		// that its keys are within the window.
+	void droppedKeysStayRefusedWhenClockLags() {
+		// A node whose clock is ahead drops a segment. By the clock of the next node, its
+		// keys are still within the window.
 		LedgerLimits l = LIMITS.withSegments(100, 4, 1_000);
 		Shard s = Shard.empty(l, 4).withIntents(List.of(intent(1, 1_000, 1), intent(2, 1_100, 2)));
 		s = s.withSealedHead(s.toSegment(1)).withBatch(new BatchId("n", 1, 1), 9_000);
@@ -50,7 +51,7 @@
 	}
 
 	@Test
-	void fullShardRefusesAndForgetsNothing() {
+	void fullShardRefusesNewKeysAndRetainsExistingOnes() {
 		LedgerLimits l = LIMITS.withSegments(100, 2, 1_000_000);
 		Shard s = Shard.empty(l, 2);
 		long key = 0;
@@ -60,60 +61,62 @@
 			key++;
 		}
 		assertThat(key).isGreaterThan(3);
-		assertThat(s.decide(intent(key, KeyTime.NONE, key), 0)).isEqualTo(new ClaimResult.Denied(RefusalCode.KEY_REQUIRED));
+		assertThat(s.decide(intent(key, KeyTime.NONE, key), 0))
+			.isEqualTo(new ClaimResult.Denied(RefusalCode.KEY_REQUIRED));
 		for (long k = 0; k < key; k++) {
 			assertThat(s.decide(intent(k, KeyTime.NONE, 1_000), 0)).isInstanceOf(ClaimResult.AlreadyClaimed.class);
 		}
 	}
 
 	@Test
-	void endsOnlyAddCertainty() {
-		// Messages repeat and overtake each other. Were an answered key freed by an old
-		// "not run", its next resend would run it again.
+	void resultsOnlyAddCertainty() {
+		// Messages may be duplicated and reordered. If a stale "not run" message released
+		// an answered key, the next retry would run the request again.
 		Shard s = Shard.empty(LIMITS, 128).withIntents(List.of(intent(1, KeyTime.NONE, 1)));
-		Shard answered = s.withAttemptResults(List.of(end(1, new EntryState.Answered(null))));
-		assertThat(answered.withAttemptResults(List.of(end(1, new EntryState.NotStarted())))).isSameAs(answered);
-		assertThat(answered.withAttemptResults(List.of(end(1, new EntryState.Unknown())))).isSameAs(answered);
-		assertThat(s.withAttemptResults(List.of(end(2, new EntryState.NotStarted())))).isSameAs(s);
-		Shard unknown = s.withAttemptResults(List.of(end(1, new EntryState.Unknown())));
-		assertThat(unknown.withAttemptResults(List.of(end(1, new EntryState.Answered(null)))).find(new KeyDigest(0, 1)))
+		Shard answered = s.withAttemptResults(List.of(result(1, new EntryState.Answered(null))));
+		assertThat(answered.withAttemptResults(List.of(result(1, new EntryState.NotStarted())))).isSameAs(answered);
+		assertThat(answered.withAttemptResults(List.of(result(1, new EntryState.Unknown())))).isSameAs(answered);
+		assertThat(s.withAttemptResults(List.of(result(2, new EntryState.NotStarted())))).isSameAs(s);
+		Shard unknown = s.withAttemptResults(List.of(result(1, new EntryState.Unknown())));
+		assertThat(
+				unknown.withAttemptResults(List.of(result(1, new EntryState.Answered(null)))).find(new KeyDigest(0, 1)))
 			.hasValueSatisfying((e) -> assertThat(e.state()).isInstanceOf(EntryState.Answered.class));
-		Shard free = s.withAttemptResults(List.of(end(1, new EntryState.NotStarted())));
-		assertThat(free.withAttemptResults(List.of(end(1, new EntryState.Answered(null))))).isSameAs(free);
+		Shard free = s.withAttemptResults(List.of(result(1, new EntryState.NotStarted())));
+		assertThat(free.withAttemptResults(List.of(result(1, new EntryState.Answered(null))))).isSameAs(free);
 		assertThat(free.decide(intent(1, KeyTime.NONE, 3), 0)).isEqualTo(new ClaimResult.Unclaimed());
 	}
 
 	@Test
 	void headStaysUnderAMegabyte() {
 		List<Intent> intents = new ArrayList<>();
-		List<AttemptResult> ends = new ArrayList<>();
+		List<AttemptResult> results = new ArrayList<>();
 		int n = (LIMITS.sealThresholdBytes() + 2 * LIMITS.maxBatchBytes()) / 72;
 		for (long i = 0; i < n; i++) {
 			Intent x = new Intent(new KeyDigest(~i, i), ~i, Long.MAX_VALUE - i, new Attempt("10.0.0.1:99", 1, ~i));
 			intents.add(x);
-			ends.add(new AttemptResult(x.key(), x.attempt(), new EntryState.Answered(null)));
+			results.add(new AttemptResult(x.key(), x.attempt(), new EntryState.Answered(null)));
 		}
-		Shard s = Shard.empty(LIMITS, 128).withIntents(intents).withAttemptResults(ends);
+		Shard s = Shard.empty(LIMITS, 128).withIntents(intents).withAttemptResults(results);
 		assertThat(ShardCodec.encode(s.head()).length).isLessThanOrEqualTo(n * 72).isLessThan(1_000_000);
 	}
 
 	@Test
-	void malformedRecordIsATypedError() {
+	void malformedRecordThrowsInputException() {
 		assertThatThrownBy(() -> ShardCodec.decodeHead(new byte[] { 9 })).isInstanceOf(InputException.class);
 		assertThatThrownBy(() -> ShardCodec.decodeSegment(new byte[0])).isInstanceOf(InputException.class);
 	}
 
 	@Test
-	void otherBodyUnderTheSameKeyIsRefused() {
+	void keyReusedWithAnotherBodyIsRefused() {
 		Shard s = Shard.empty(LIMITS, 128).withIntents(List.of(intent(1, KeyTime.NONE, 1)));
 		Intent other = new Intent(new KeyDigest(0, 1), 99, KeyTime.NONE, new Attempt("n", 1, 2));
 		assertThat(s.decide(other, 0)).isEqualTo(new ClaimResult.Denied(RefusalCode.KEY_REUSED));
 	}
 
 	@Test
-	void lateAndRepeatedPiecesAreDropped() {
-		// A worker is slow, the request is retried, and the first worker's answer comes
-		// after all. A caller must not see tokens of both.
+	void lateAndDuplicateChunksAreDropped() {
+		// A worker is slow, the request is retried, and the first worker's response then
+		// arrives late. The caller must not receive tokens of both.
 		AttemptFilter f = new AttemptFilter();
 		f.start(1);
 		assertThat(f.accept(1, 0)).isTrue();
@@ -130,7 +133,7 @@
 	}
 
 	@Test
-	void memoryLedgerJoinsAnswersAndExpires() {
+	void inMemoryLedgerJoinsWaitersReplaysAnswersAndExpiresDeadlines() {
 		InMemoryLedger l = new InMemoryLedger();
 		IntentKey k = new IntentKey("c", "k1");
 		assertThat(l.begin(k, 1, 0, 100).block()).isInstanceOf(IntentDecision.Run.class);
@@ -150,7 +153,7 @@
 		assertThat(l.begin(k, 2, 80, 100).block()).isInstanceOf(IntentDecision.Refused.class);
 	}
 
-	private static AttemptResult end(long attempt, EntryState s) {
+	private static AttemptResult result(long attempt, EntryState s) {
 		return new AttemptResult(new KeyDigest(0, 1), new Attempt("n", 1, attempt), s);
 	}
 
