--- a/src/main/java/io/shallotspur/ledger/InMemoryLedger.java
+++ b/src/main/java/io/shallotspur/ledger/InMemoryLedger.java
@@ -35,19 +35,19 @@
 	@Override
 	public Mono<IntentDecision> begin(IntentKey key, long bodyHash, long now, long deadlineAt) {
 		KeyDigest digest = KeyDigest.of(key);
-		Intent i = new Intent(digest, bodyHash, KeyTime.NONE, new Attempt(NODE, 0, this.nextAttempt++));
-		LedgerEntry e = this.entries.get(digest);
-		Map<KeyDigest, LedgerEntry> m = (e != null) ? Map.of(digest, e) : Map.of();
-		Shard s = new Shard(LIMITS, 1, new ShardHead(0, Long.MIN_VALUE, List.of(), List.of(), m), Map.of());
-		ClaimResult v = s.decide(i, now);
-		if (v instanceof ClaimResult.Unclaimed) {
-			this.entries.put(digest, i.toEntry());
+		Intent intent = new Intent(digest, bodyHash, KeyTime.NONE, new Attempt(NODE, 0, this.nextAttempt++));
+		LedgerEntry entry = this.entries.get(digest);
+		Map<KeyDigest, LedgerEntry> known = (entry != null) ? Map.of(digest, entry) : Map.of();
+		Shard shard = new Shard(LIMITS, 1, new ShardHead(0, Long.MIN_VALUE, List.of(), List.of(), known), Map.of());
+		ClaimResult result = shard.decide(intent, now);
+		if (result instanceof ClaimResult.Unclaimed) {
+			this.entries.put(digest, intent.toEntry());
 			return Mono.just(new IntentDecision.Run());
 		}
-		if (v instanceof ClaimResult.AlreadyClaimed claimed) {
-			return resolveClaimed(digest, claimed.entry(), now, deadlineAt);
+		if (result instanceof ClaimResult.AlreadyClaimed other) {
+			return resolveClaimed(digest, other.entry(), now, deadlineAt);
 		}
-		RefusalCode code = (v instanceof ClaimResult.Denied d) ? d.code() : RefusalCode.OUTCOME_UNKNOWN;
+		RefusalCode code = (result instanceof ClaimResult.Denied denied) ? denied.code() : RefusalCode.OUTCOME_UNKNOWN;
 		return Mono.just(new IntentDecision.Refused(LedgerRefusals.denied(code)));
 	}
 
@@ -67,13 +67,13 @@
 	@Override
 	public Mono<Void> recordNotRun(IntentKey key, long now) {
 		KeyDigest digest = KeyDigest.of(key);
-		LedgerEntry e = this.entries.get(digest);
-		if (e == null || !(e.state() instanceof EntryState.InFlight)) {
+		LedgerEntry entry = this.entries.get(digest);
+		if (entry == null || !(entry.state() instanceof EntryState.InFlight)) {
 			return Mono.empty();
 		}
 		Waiter next = nextWaiter(digest, now);
 		if (next == null) {
-			this.entries.put(digest, e.withState(new EntryState.NotStarted()));
+			this.entries.put(digest, entry.withState(new EntryState.NotStarted()));
 		}
 		else {
 			next.sink().tryEmitValue(new IntentDecision.Run());
@@ -90,12 +90,12 @@
 		List<Waiter> due = this.waiters.values()
 			.stream()
 			.flatMap(Deque::stream)
-			.filter((w) -> w.deadlineAt() <= now)
+			.filter((waiter) -> waiter.deadlineAt() <= now)
 			.toList();
-		this.waiters.values().forEach((l) -> l.removeAll(due));
+		this.waiters.values().forEach((queue) -> queue.removeAll(due));
 		this.waiters.values().removeIf(Deque::isEmpty);
 		// Signalled last because a subscriber may call this ledger reentrantly.
-		due.forEach((w) -> w.sink().tryEmitValue(new IntentDecision.Refused(LedgerRefusals.stillRunning())));
+		due.forEach((waiter) -> waiter.sink().tryEmitValue(new IntentDecision.Refused(LedgerRefusals.stillRunning())));
 	}
 
 	/**
@@ -111,37 +111,37 @@
 			.orElse(Long.MAX_VALUE);
 	}
 
-	private Mono<IntentDecision> resolveClaimed(KeyDigest digest, LedgerEntry e, long now, long deadlineAt) {
-		if (e.state() instanceof EntryState.Answered a && a.answer() != null) {
+	private Mono<IntentDecision> resolveClaimed(KeyDigest digest, LedgerEntry entry, long now, long deadlineAt) {
+		if (entry.state() instanceof EntryState.Answered a && a.answer() != null) {
 			return Mono.just(new IntentDecision.Answered(a.answer()));
 		}
-		if (e.state() instanceof EntryState.InFlight && deadlineAt > now) {
-			Waiter w = new Waiter(Sinks.one(), deadlineAt);
-			this.waiters.computeIfAbsent(digest, (x) -> new ArrayDeque<>()).add(w);
-			return w.sink().asMono();
+		if (entry.state() instanceof EntryState.InFlight && deadlineAt > now) {
+			Waiter waiter = new Waiter(Sinks.one(), deadlineAt);
+			this.waiters.computeIfAbsent(digest, (x) -> new ArrayDeque<>()).add(waiter);
+			return waiter.sink().asMono();
 		}
-		return Mono.just(new IntentDecision.Refused((e.state() instanceof EntryState.InFlight)
+		return Mono.just(new IntentDecision.Refused((entry.state() instanceof EntryState.InFlight)
 				? LedgerRefusals.stillRunning() : LedgerRefusals.outcomeUnknown()));
 	}
 
 	private void complete(KeyDigest digest, EntryState next, IntentDecision decision) {
-		LedgerEntry e = this.entries.get(digest);
-		if (e == null || !e.state().canTransitionTo(next)) {
+		LedgerEntry entry = this.entries.get(digest);
+		if (entry == null || !entry.state().canTransitionTo(next)) {
 			return;
 		}
-		this.entries.put(digest, e.withState(next));
-		Deque<Waiter> l = this.waiters.remove(digest);
-		if (l != null) {
-			l.forEach((w) -> w.sink().tryEmitValue(decision));
+		this.entries.put(digest, entry.withState(next));
+		Deque<Waiter> queue = this.waiters.remove(digest);
+		if (queue != null) {
+			queue.forEach((waiter) -> waiter.sink().tryEmitValue(decision));
 		}
 	}
 
 	private @Nullable Waiter nextWaiter(KeyDigest digest, long now) {
 		advance(now);
-		Deque<Waiter> l = this.waiters.get(digest);
-		Waiter w = (l != null) ? l.poll() : null;
+		Deque<Waiter> queue = this.waiters.get(digest);
+		Waiter waiter = (queue != null) ? queue.poll() : null;
 		this.waiters.values().removeIf(Deque::isEmpty);
-		return w;
+		return waiter;
 	}
 
 	private record Waiter(Sinks.One<IntentDecision> sink, long deadlineAt) {
--- a/src/main/java/io/shallotspur/ledger/LedgerLimits.java
+++ b/src/main/java/io/shallotspur/ledger/LedgerLimits.java
@@ -31,20 +31,20 @@
 	public static final LedgerLimits DEFAULT = new LedgerLimits(28, 4, 256, 512, 64 * 1024, 256 * 1024, 2_000, 100,
 			600_000, 60_000, 256);
 
-	private static final int SHARDS_PER_UNTIMED_SHARD = 8;
+	private static final int TOTAL_PER_UNTIMED_SHARD = 8;
 
 	/**
 	 * Creates limits from the operator's settings. One shard in eight is reserved for
 	 * keys without a timestamp.
 	 * @param shards total number of shards, at least 2
-	 * @param batchMs minimum time between two writes of a shard, in milliseconds
+	 * @param batchIntervalMs minimum time between two writes of a shard, in milliseconds
 	 * @param windowMs how long a key with a timestamp is retained, in milliseconds
 	 * @return the limits
 	 */
-	public static LedgerLimits of(int shards, long batchMs, long windowMs) {
-		int untimed = Math.max(1, shards / SHARDS_PER_UNTIMED_SHARD);
+	public static LedgerLimits of(int shards, long batchIntervalMs, long windowMs) {
+		int untimed = Math.max(1, shards / TOTAL_PER_UNTIMED_SHARD);
 		return DEFAULT.withShards(shards - untimed, untimed)
-			.withBatch(batchMs, DEFAULT.maxBatchEntries)
+			.withBatch(batchIntervalMs, DEFAULT.maxBatchEntries)
 			.withSegments(DEFAULT.sealThresholdBytes, DEFAULT.timedSlots, windowMs);
 	}
 
@@ -78,14 +78,14 @@
 
 	/**
 	 * Returns a copy with other batch limits.
-	 * @param batchMs minimum time between two writes of a shard, in milliseconds
-	 * @param batchEntries maximum number of intents per write
+	 * @param batchIntervalMs minimum time between two writes of a shard, in milliseconds
+	 * @param maxBatchEntries maximum number of intents per write
 	 * @return the new limits
 	 */
-	public LedgerLimits withBatch(long batchMs, int batchEntries) {
+	public LedgerLimits withBatch(long batchIntervalMs, int maxBatchEntries) {
 		return new LedgerLimits(this.timedShards, this.untimedShards, this.timedSlots, this.untimedSlots,
-				this.sealThresholdBytes, this.maxBatchBytes, batchEntries, batchMs, this.windowMs, this.maxClockSkewMs,
-				this.maxInlineBytes);
+				this.sealThresholdBytes, this.maxBatchBytes, maxBatchEntries, batchIntervalMs, this.windowMs,
+				this.maxClockSkewMs, this.maxInlineBytes);
 	}
 
 	/**
@@ -102,14 +102,14 @@
 
 	/**
 	 * Returns a copy with other segment limits and another window.
-	 * @param segmentBytes size at which the head of a shard is sealed, in bytes
+	 * @param sealThresholdBytes size at which the head of a shard is sealed, in bytes
 	 * @param slots maximum number of sealed segments in a timed shard; an untimed shard
 	 * has twice as many
 	 * @param windowMs how long a key with a timestamp is retained, in milliseconds
 	 * @return the new limits
 	 */
-	public LedgerLimits withSegments(int segmentBytes, int slots, long windowMs) {
-		return new LedgerLimits(this.timedShards, this.untimedShards, slots, 2 * slots, segmentBytes,
+	public LedgerLimits withSegments(int sealThresholdBytes, int slots, long windowMs) {
+		return new LedgerLimits(this.timedShards, this.untimedShards, slots, 2 * slots, sealThresholdBytes,
 				this.maxBatchBytes, this.maxBatchEntries, this.batchIntervalMs, windowMs, this.maxClockSkewMs,
 				this.maxInlineBytes);
 	}
--- a/src/main/java/io/shallotspur/ledger/LedgerRefusals.java
+++ b/src/main/java/io/shallotspur/ledger/LedgerRefusals.java
@@ -24,7 +24,7 @@
 	public static Refusal storeUnavailable(boolean possibleRetry, long retryAfterMs) {
 		if (possibleRetry) {
 			return Refusal.outcomeUnknown(RefusalCode.STORE_UNAVAILABLE,
-					"This call was not run. Whether an earlier one with this key was run cannot be read now; "
+					"This call was not run. It cannot be determined now whether an earlier call with this key was run; "
 							+ "send it again with the same key.");
 		}
 		return Refusal.notRun(RefusalCode.STORE_UNAVAILABLE,
@@ -39,7 +39,7 @@
 	 */
 	public static Refusal outcomeUnknown() {
 		return Refusal.outcomeUnknown(RefusalCode.OUTCOME_UNKNOWN,
-				"A call with this key may have been run and its answer is lost. It is not run again.");
+				"A call with this key may have been run, but its answer is lost. The request is not run again.");
 	}
 
 	/**
@@ -48,7 +48,7 @@
 	 */
 	public static Refusal stillRunning() {
 		return Refusal.outcomeUnknown(RefusalCode.DEADLINE_PASSED,
-				"A call with this key is running and its answer is not there yet. It is not run again.");
+				"A call with this key is still running and has no answer yet. The request is not run again.");
 	}
 
 	/**
@@ -58,7 +58,7 @@
 	 */
 	public static Refusal answerNotRetained() {
 		return Refusal.outcomeUnknown(RefusalCode.OUTCOME_UNKNOWN,
-				"The request was run and answered; the answer is no longer kept. It is not run again.");
+				"The request was run and answered, but the answer is no longer kept. It is not run again.");
 	}
 
 	/**
@@ -71,11 +71,11 @@
 			case KEY_REUSED ->
 				Refusal.notRun(code, "The key was used before with another body; this body was not run.", 0);
 			case KEY_EXPIRED -> Refusal.outcomeUnknown(code,
-					"The key is older than the window in which keys are remembered; it may have been run.");
+					"The key is older than the retention window of keys; the request may have been run.");
 			case MALFORMED_REQUEST ->
-				Refusal.notRun(code, "The time that the key carries lies in the future; the call was not run.", 0);
+				Refusal.notRun(code, "The timestamp of the key is too far in the future; the call was not run.", 0);
 			case KEY_REQUIRED -> Refusal.notRun(code,
-					"No more keys without a time can be remembered. Send a key that carries its time.", 0);
+					"No more keys without a timestamp can be stored. Send a key that contains a timestamp.", 0);
 			default -> Refusal.notRun(code, "The ledger is full; the call was not run.", 1_000);
 		};
 	}
--- a/src/main/java/io/shallotspur/ledger/Shard.java
+++ b/src/main/java/io/shallotspur/ledger/Shard.java
@@ -19,7 +19,7 @@
  * Invariants: a key is unclaimed only if neither the head nor a segment has an entry for
  * it, or its last attempt was definitely not run, and the key is newer than all dropped
  * keys; the attempt of an entry changes only from the state
- * {@link EntryState.NotStarted}. Only the head is written by compare-and-swap, so these
+ * {@link EntryState.NotStarted}. The head is replaced only by compare-and-swap, so these
  * invariants hold for any interleaving of writers.
  */
 public final class Shard {
@@ -50,7 +50,7 @@
 		this.slots = slots;
 		this.head = head;
 		this.sealedSegments = Map.copyOf(sealed);
-		this.headBytes = head.entries().values().stream().mapToInt((e) -> sizeOf(e.state())).sum();
+		this.headBytes = head.entries().values().stream().mapToInt((entry) -> sizeOf(entry.state())).sum();
 	}
 
 	/**
@@ -85,32 +85,32 @@
 	 * @return the latest entry, or empty
 	 */
 	public Optional<LedgerEntry> find(KeyDigest key) {
-		LedgerEntry e = this.head.entries().get(key);
-		for (int i = this.head.segments().size() - 1; e == null && i >= 0; i--) {
-			Segment s = this.sealedSegments.get(this.head.segments().get(i));
-			e = (s != null) ? s.entries().get(key) : null;
+		LedgerEntry entry = this.head.entries().get(key);
+		for (int i = this.head.segments().size() - 1; entry == null && i >= 0; i--) {
+			Segment segment = this.sealedSegments.get(this.head.segments().get(i));
+			entry = (segment != null) ? segment.entries().get(key) : null;
 		}
-		return Optional.ofNullable(e);
+		return Optional.ofNullable(entry);
 	}
 
 	/**
 	 * Evaluates an intent against this shard.
-	 * @param i the intent
+	 * @param intent the intent
 	 * @param now the current time in milliseconds
 	 * @return the result; {@link ClaimResult.Unclaimed} guarantees nothing until the
 	 * intent is committed
 	 */
-	public ClaimResult decide(Intent i, long now) {
-		LedgerEntry e = find(i.key()).orElse(null);
-		if (e != null && e.attempt().equals(i.attempt())) {
-			return (e.state() instanceof EntryState.InFlight) ? new ClaimResult.Granted()
-					: new ClaimResult.AlreadyClaimed(e);
+	public ClaimResult decide(Intent intent, long now) {
+		LedgerEntry entry = find(intent.key()).orElse(null);
+		if (entry != null && entry.attempt().equals(intent.attempt())) {
+			return (entry.state() instanceof EntryState.InFlight) ? new ClaimResult.Granted()
+					: new ClaimResult.AlreadyClaimed(entry);
 		}
-		if (e != null && !(e.state() instanceof EntryState.NotStarted)) {
-			return (e.bodyHash() == i.bodyHash()) ? new ClaimResult.AlreadyClaimed(e)
+		if (entry != null && !(entry.state() instanceof EntryState.NotStarted)) {
+			return (entry.bodyHash() == intent.bodyHash()) ? new ClaimResult.AlreadyClaimed(entry)
 					: new ClaimResult.Denied(RefusalCode.KEY_REUSED);
 		}
-		return decideUnclaimed(i, now);
+		return decideUnclaimed(intent, now);
 	}
 
 	/**
@@ -120,17 +120,17 @@
 	 * @return this or a new shard
 	 */
 	public Shard withAttemptResults(Collection<AttemptResult> results) {
-		Map<KeyDigest, LedgerEntry> m = null;
+		Map<KeyDigest, LedgerEntry> entries = null;
 		for (AttemptResult result : results) {
-			LedgerEntry e = (m != null && m.containsKey(result.key())) ? m.get(result.key())
+			LedgerEntry entry = (entries != null && entries.containsKey(result.key())) ? entries.get(result.key())
 					: find(result.key()).orElse(null);
-			if (e != null && e.attempt().equals(result.attempt()) && e.state().canTransitionTo(result.state())
-					&& hasRoomFor(result)) {
-				m = (m != null) ? m : new HashMap<>(this.head.entries());
-				m.put(result.key(), e.withState(result.state()));
+			if (entry != null && entry.attempt().equals(result.attempt())
+					&& entry.state().canTransitionTo(result.state()) && hasRoomFor(result)) {
+				entries = (entries != null) ? entries : new HashMap<>(this.head.entries());
+				entries.put(result.key(), entry.withState(result.state()));
 			}
 		}
-		return (m != null) ? withEntries(m) : this;
+		return (entries != null) ? withEntries(entries) : this;
 	}
 
 	/**
@@ -140,9 +140,9 @@
 	 * @return a new shard
 	 */
 	public Shard withIntents(Collection<Intent> intents) {
-		Map<KeyDigest, LedgerEntry> m = new HashMap<>(this.head.entries());
-		intents.forEach((i) -> m.put(i.key(), i.toEntry()));
-		return withEntries(m);
+		Map<KeyDigest, LedgerEntry> entries = new HashMap<>(this.head.entries());
+		intents.forEach((intent) -> entries.put(intent.key(), intent.toEntry()));
+		return withEntries(entries);
 	}
 
 	/**
@@ -153,26 +153,25 @@
 	 * @return a new shard
 	 */
 	public Shard withBatch(BatchId batch, long now) {
-		List<BatchId> b = new ArrayList<>(this.head.batches());
-		b.add(batch);
-		List<BatchId> latest = b.subList(Math.max(0, b.size() - ShardHead.MAX_BATCHES), b.size());
+		List<BatchId> batches = new ArrayList<>(this.head.batches());
+		batches.add(batch);
+		List<BatchId> latest = batches.subList(Math.max(0, batches.size() - ShardHead.MAX_BATCHES), batches.size());
 		List<SegmentRef> retained = new ArrayList<>();
 		long watermark = this.head.keyTimeWatermark();
-		for (SegmentRef r : this.head.segments()) {
-			if (isExpired(r, now)) {
-				// The watermark is stored in the head, so that a node whose clock lags
-				// also
-				// refuses the dropped keys instead of running them again.
-				watermark = Math.max(watermark, r.maxKeyTime());
+		for (SegmentRef ref : this.head.segments()) {
+			if (isExpired(ref, now)) {
+				// The watermark is stored in the head, so that a node whose clock
+				// lags also refuses the dropped keys instead of running them again.
+				watermark = Math.max(watermark, ref.maxKeyTime());
 			}
 			else {
-				retained.add(r);
+				retained.add(ref);
 			}
 		}
-		ShardHead h = new ShardHead(this.head.sequence(), watermark, retained, latest, this.head.entries());
-		Map<SegmentRef, Segment> s = new HashMap<>(this.sealedSegments);
-		s.keySet().retainAll(retained);
-		return new Shard(this.limits, this.slots, h, s);
+		ShardHead newHead = new ShardHead(this.head.sequence(), watermark, retained, latest, this.head.entries());
+		Map<SegmentRef, Segment> segments = new HashMap<>(this.sealedSegments);
+		segments.keySet().retainAll(retained);
+		return new Shard(this.limits, this.slots, newHead, segments);
 	}
 
 	/**
@@ -193,76 +192,78 @@
 		// A slot to which the stored head still refers is not available, even if its
 		// segment has expired: a concurrent reader would find a segment other than the
 		// referenced one.
-		return this.headBytes >= this.limits.sealThresholdBytes() && !isSlotReferenced((r) -> true);
+		return this.headBytes >= this.limits.sealThresholdBytes() && !isSlotReferenced((ref) -> true);
 	}
 
 	/**
 	 * Returns the head as a segment.
-	 * @param epoch the store version of the head
+	 * @param headVersion the store version of the head
 	 * @return the segment
 	 */
-	public Segment toSegment(long epoch) {
+	public Segment toSegment(long headVersion) {
 		long max = this.head.entries().values().stream().mapToLong(LedgerEntry::keyTime).max().orElse(KeyTime.NONE);
-		boolean untimed = this.head.entries().values().stream().anyMatch((e) -> e.keyTime() == KeyTime.NONE);
-		SegmentRef ref = new SegmentRef(this.head.sequence(), epoch, untimed ? KeyTime.NONE : max);
+		boolean untimed = this.head.entries().values().stream().anyMatch((entry) -> entry.keyTime() == KeyTime.NONE);
+		SegmentRef ref = new SegmentRef(this.head.sequence(), headVersion, untimed ? KeyTime.NONE : max);
 		return new Segment(ref, this.head.entries());
 	}
 
 	/**
 	 * Returns the shard after its head was sealed, with an empty head.
-	 * @param s the segment returned by {@link #toSegment}, already stored
+	 * @param segment the segment returned by {@link #toSegment}, already stored
 	 * @return a new shard
 	 */
-	public Shard withSealedHead(Segment s) {
+	public Shard withSealedHead(Segment segment) {
 		List<SegmentRef> refs = new ArrayList<>(this.head.segments());
-		refs.add(s.ref());
-		ShardHead h = new ShardHead(this.head.sequence() + 1, this.head.keyTimeWatermark(), refs, this.head.batches(),
-				Map.of());
-		Map<SegmentRef, Segment> m = new HashMap<>(this.sealedSegments);
-		m.put(s.ref(), s);
-		return new Shard(this.limits, this.slots, h, m);
+		refs.add(segment.ref());
+		ShardHead newHead = new ShardHead(this.head.sequence() + 1, this.head.keyTimeWatermark(), refs,
+				this.head.batches(), Map.of());
+		Map<SegmentRef, Segment> segments = new HashMap<>(this.sealedSegments);
+		segments.put(segment.ref(), segment);
+		return new Shard(this.limits, this.slots, newHead, segments);
 	}
 
 	/**
 	 * Returns the store slot of a segment.
-	 * @param r the reference of the segment
+	 * @param ref the reference of the segment
 	 * @return the slot index, from 0
 	 */
-	public int slotOf(SegmentRef r) {
-		return (int) (r.sequence() % this.slots);
+	public int slotOf(SegmentRef ref) {
+		return (int) (ref.sequence() % this.slots);
 	}
 
 	/**
 	 * Returns an upper bound on the size that a result adds to the head.
-	 * @param e the result
+	 * @param result the result
 	 * @return the upper bound in bytes
 	 */
-	public static int sizeOf(AttemptResult e) {
-		return sizeOf(e.state());
+	public static int sizeOf(AttemptResult result) {
+		return sizeOf(result.state());
 	}
 
-	private static int sizeOf(EntryState s) {
-		byte @Nullable [] a = (s instanceof EntryState.Answered answered) ? answered.answer() : null;
+	private static int sizeOf(EntryState state) {
+		byte @Nullable [] a = (state instanceof EntryState.Answered answered) ? answered.answer() : null;
 		return MAX_ENTRY_BYTES + ((a != null) ? a.length : 0);
 	}
 
 	private boolean hasRoomFor(AttemptResult result) {
 		// A shard without an available slot cannot be sealed. Results of sealed entries
-		// would make its head grow beyond the store's value size limit, so those entries
-		// keep their state.
+		// would make its head grow beyond the value size limit of the store, so those
+		// entries keep their state.
 		return this.headBytes < MAX_HEAD_BYTES || this.head.entries().containsKey(result.key());
 	}
 
-	private ClaimResult decideUnclaimed(Intent i, long now) {
-		long t = i.keyTime();
-		if (t != KeyTime.NONE && (t <= this.head.keyTimeWatermark() || t + this.limits.windowMs() <= now)) {
+	private ClaimResult decideUnclaimed(Intent intent, long now) {
+		long keyTime = intent.keyTime();
+		if (keyTime != KeyTime.NONE
+				&& (keyTime <= this.head.keyTimeWatermark() || keyTime + this.limits.windowMs() <= now)) {
 			return new ClaimResult.Denied(RefusalCode.KEY_EXPIRED);
 		}
-		if (t != KeyTime.NONE && t > now + this.limits.maxClockSkewMs()) {
+		if (keyTime != KeyTime.NONE && keyTime > now + this.limits.maxClockSkewMs()) {
 			return new ClaimResult.Denied(RefusalCode.MALFORMED_REQUEST);
 		}
-		if (this.headBytes >= this.limits.sealThresholdBytes() && isSlotReferenced((r) -> !isExpired(r, now))) {
-			return new ClaimResult.Denied((t != KeyTime.NONE) ? RefusalCode.QUEUE_FULL : RefusalCode.KEY_REQUIRED);
+		if (this.headBytes >= this.limits.sealThresholdBytes() && isSlotReferenced((ref) -> !isExpired(ref, now))) {
+			return new ClaimResult.Denied(
+					(keyTime != KeyTime.NONE) ? RefusalCode.QUEUE_FULL : RefusalCode.KEY_REQUIRED);
 		}
 		return new ClaimResult.Unclaimed();
 	}
@@ -271,17 +272,17 @@
 		// Overwriting a slot that is still referenced would lose its keys, and their
 		// requests would be run again.
 		long first = this.head.sequence() - this.slots;
-		return this.head.segments().stream().filter(filter).anyMatch((r) -> r.sequence() <= first);
+		return this.head.segments().stream().filter(filter).anyMatch((ref) -> ref.sequence() <= first);
 	}
 
-	private boolean isExpired(SegmentRef r, long now) {
-		return r.maxKeyTime() != KeyTime.NONE && r.maxKeyTime() + this.limits.windowMs() <= now;
+	private boolean isExpired(SegmentRef ref, long now) {
+		return ref.maxKeyTime() != KeyTime.NONE && ref.maxKeyTime() + this.limits.windowMs() <= now;
 	}
 
-	private Shard withEntries(Map<KeyDigest, LedgerEntry> m) {
-		ShardHead h = new ShardHead(this.head.sequence(), this.head.keyTimeWatermark(), this.head.segments(),
-				this.head.batches(), m);
-		return new Shard(this.limits, this.slots, h, this.sealedSegments);
+	private Shard withEntries(Map<KeyDigest, LedgerEntry> entries) {
+		ShardHead newHead = new ShardHead(this.head.sequence(), this.head.keyTimeWatermark(), this.head.segments(),
+				this.head.batches(), entries);
+		return new Shard(this.limits, this.slots, newHead, this.sealedSegments);
 	}
 
 }
--- a/src/main/java/io/shallotspur/ledger/ShardCodec.java
+++ b/src/main/java/io/shallotspur/ledger/ShardCodec.java
@@ -36,21 +36,21 @@
 
 	/**
 	 * Encodes a head.
-	 * @param h the head
+	 * @param head the head
 	 * @return its bytes
 	 */
-	public static byte[] encode(ShardHead h) {
+	public static byte[] encode(ShardHead head) {
 		try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-			packer.packInt(FORMAT).packLong(h.sequence()).packLong(h.keyTimeWatermark());
-			packer.packArrayHeader(h.segments().size());
-			for (SegmentRef r : h.segments()) {
-				packRef(packer, r);
+			packer.packInt(FORMAT).packLong(head.sequence()).packLong(head.keyTimeWatermark());
+			packer.packArrayHeader(head.segments().size());
+			for (SegmentRef ref : head.segments()) {
+				packRef(packer, ref);
 			}
-			packer.packArrayHeader(h.batches().size());
-			for (BatchId b : h.batches()) {
-				packer.packString(b.node()).packLong(b.incarnation()).packLong(b.number());
+			packer.packArrayHeader(head.batches().size());
+			for (BatchId batch : head.batches()) {
+				packer.packString(batch.node()).packLong(batch.incarnation()).packLong(batch.number());
 			}
-			packEntries(packer, h.entries());
+			packEntries(packer, head.entries());
 			return packer.toByteArray();
 		}
 		catch (IOException ex) {
@@ -60,14 +60,14 @@
 
 	/**
 	 * Encodes a segment.
-	 * @param s the segment
+	 * @param segment the segment
 	 * @return its bytes
 	 */
-	public static byte[] encode(Segment s) {
+	public static byte[] encode(Segment segment) {
 		try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
 			packer.packInt(FORMAT);
-			packRef(packer, s.ref());
-			packEntries(packer, s.entries());
+			packRef(packer, segment.ref());
+			packEntries(packer, segment.entries());
 			return packer.toByteArray();
 		}
 		catch (IOException ex) {
@@ -77,7 +77,7 @@
 
 	/**
 	 * Decodes a head.
-	 * @param bytes bytes returned by {@link #encode(ShardHead)}
+	 * @param bytes the bytes returned by {@link #encode(ShardHead)}
 	 * @return the head
 	 * @throws InputException if the bytes are not a head in this format
 	 */
@@ -85,7 +85,7 @@
 		try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
 			checkFormat(unpacker);
 			long sequence = unpacker.unpackLong();
-			long floor = unpacker.unpackLong();
+			long keyTimeWatermark = unpacker.unpackLong();
 			List<SegmentRef> refs = new ArrayList<>();
 			for (int n = unpacker.unpackArrayHeader(); n > 0; n--) {
 				refs.add(unpackRef(unpacker));
@@ -94,7 +94,7 @@
 			for (int n = unpacker.unpackArrayHeader(); n > 0; n--) {
 				batches.add(new BatchId(unpacker.unpackString(), unpacker.unpackLong(), unpacker.unpackLong()));
 			}
-			return new ShardHead(sequence, floor, refs, batches, unpackEntries(unpacker));
+			return new ShardHead(sequence, keyTimeWatermark, refs, batches, unpackEntries(unpacker));
 		}
 		catch (IOException | RuntimeException ex) {
 			throw new InputException("the record is not a ledger head in a known format", null, ex);
@@ -103,7 +103,7 @@
 
 	/**
 	 * Decodes a segment.
-	 * @param bytes bytes returned by {@link #encode(Segment)}
+	 * @param bytes the bytes returned by {@link #encode(Segment)}
 	 * @return the segment
 	 * @throws InputException if the bytes are not a segment in this format
 	 */
@@ -124,8 +124,8 @@
 		}
 	}
 
-	private static void packRef(MessageBufferPacker packer, SegmentRef r) throws IOException {
-		packer.packLong(r.sequence()).packLong(r.headVersion()).packLong(r.maxKeyTime());
+	private static void packRef(MessageBufferPacker packer, SegmentRef ref) throws IOException {
+		packer.packLong(ref.sequence()).packLong(ref.headVersion()).packLong(ref.maxKeyTime());
 	}
 
 	private static SegmentRef unpackRef(MessageUnpacker unpacker) throws IOException {
@@ -135,16 +135,19 @@
 	private static void packEntries(MessageBufferPacker packer, Map<KeyDigest, LedgerEntry> entries)
 			throws IOException {
 		Map<Owner, Integer> owners = new LinkedHashMap<>();
-		entries.values().forEach((e) -> owners.putIfAbsent(Owner.of(e.attempt()), owners.size()));
+		entries.values().forEach((entry) -> owners.putIfAbsent(Owner.of(entry.attempt()), owners.size()));
 		packer.packArrayHeader(owners.size());
 		for (Owner owner : owners.keySet()) {
 			packer.packString(owner.node()).packLong(owner.incarnation());
 		}
 		packer.packArrayHeader(entries.size());
-		for (LedgerEntry e : entries.values()) {
-			packer.packLong(e.key().hi()).packLong(e.key().lo()).packLong(e.bodyHash()).packLong(e.keyTime());
-			packer.packInt(owners.get(Owner.of(e.attempt()))).packLong(e.attempt().sequence());
-			packState(packer, e.state());
+		for (LedgerEntry entry : entries.values()) {
+			packer.packLong(entry.key().hi())
+				.packLong(entry.key().lo())
+				.packLong(entry.bodyHash())
+				.packLong(entry.keyTime());
+			packer.packInt(owners.get(Owner.of(entry.attempt()))).packLong(entry.attempt().sequence());
+			packState(packer, entry.state());
 		}
 	}
 
@@ -154,30 +157,30 @@
 			owners.add(new Owner(unpacker.unpackString(), unpacker.unpackLong()));
 		}
 		int n = unpacker.unpackArrayHeader();
-		Map<KeyDigest, LedgerEntry> m = new HashMap<>(n * 2);
+		Map<KeyDigest, LedgerEntry> entries = new HashMap<>(n * 2);
 		for (int i = 0; i < n; i++) {
 			KeyDigest key = new KeyDigest(unpacker.unpackLong(), unpacker.unpackLong());
 			long body = unpacker.unpackLong();
 			long time = unpacker.unpackLong();
 			Owner owner = owners.get(unpacker.unpackInt());
 			Attempt a = new Attempt(owner.node(), owner.incarnation(), unpacker.unpackLong());
-			m.put(key, new LedgerEntry(key, body, time, a, unpackState(unpacker)));
+			entries.put(key, new LedgerEntry(key, body, time, a, unpackState(unpacker)));
 		}
-		return m;
+		return entries;
 	}
 
-	private static void packState(MessageBufferPacker packer, EntryState s) throws IOException {
-		if (s instanceof EntryState.Answered a && a.answer() != null) {
+	private static void packState(MessageBufferPacker packer, EntryState state) throws IOException {
+		if (state instanceof EntryState.Answered a && a.answer() != null) {
 			packer.packInt(ANSWERED_INLINE).packBinaryHeader(a.answer().length).writePayload(a.answer());
 		}
-		else if (s instanceof EntryState.Answered) {
+		else if (state instanceof EntryState.Answered) {
 			packer.packInt(ANSWERED);
 		}
-		else if (s instanceof EntryState.InFlight) {
+		else if (state instanceof EntryState.InFlight) {
 			packer.packInt(IN_FLIGHT);
 		}
 		else {
-			packer.packInt((s instanceof EntryState.Unknown) ? UNKNOWN : NOT_STARTED);
+			packer.packInt((state instanceof EntryState.Unknown) ? UNKNOWN : NOT_STARTED);
 		}
 	}
 
--- a/src/test/java/io/shallotspur/ledger/ShardPropertyTests.java
+++ b/src/test/java/io/shallotspur/ledger/ShardPropertyTests.java
@@ -64,21 +64,21 @@
 		void run(List<Integer> steps) throws InputException {
 			for (int s : steps) {
 				int bits = s ^ (s >>> 16);
-				Writer w = this.writers.get(Math.floorMod(bits, WRITERS));
-				step(w, Math.floorMod(bits / WRITERS, 12), Math.floorMod(bits / 37, KEYS),
+				Writer writer = this.writers.get(Math.floorMod(bits, WRITERS));
+				step(writer, Math.floorMod(bits / WRITERS, 12), Math.floorMod(bits / 37, KEYS),
 						Math.floorMod(bits / 101, 4));
 				assertThat(this.runs.values()).allMatch((n) -> n <= 1);
 			}
 		}
 
-		private void step(Writer w, int action, int key, int fault) throws InputException {
+		private void step(Writer writer, int action, int key, int fault) throws InputException {
 			switch (action) {
-				case 0, 1, 2 -> w.begin(key);
-				case 3, 4, 5 -> w.write(fault);
-				case 6 -> w.load();
-				case 7 -> w.end(key, fault);
-				case 8 -> w.seal(fault);
-				case 9 -> w.crash();
+				case 0, 1, 2 -> writer.begin(key);
+				case 3, 4, 5 -> writer.write(fault);
+				case 6 -> writer.load();
+				case 7 -> writer.end(key, fault);
+				case 8 -> writer.seal(fault);
+				case 9 -> writer.crash();
 				case 10 -> advance(key * 4L);
 				default -> applyDelayedWrites();
 			}
@@ -131,9 +131,9 @@
 			}
 
 			void begin(int key) throws InputException {
-				KeyDigest k = new KeyDigest(0, key);
+				KeyDigest digest = new KeyDigest(0, key);
 				long time = 990 + key * 10L;
-				Intent i = new Intent(k, key, time,
+				Intent i = new Intent(digest, key, time,
 						new Attempt(this.name, this.incarnation, History.this.nextAttempt++));
 				this.pending.add(i);
 				decide();
@@ -145,12 +145,12 @@
 				}
 				Shard base = this.shard.withAttemptResults(this.results);
 				for (Intent i : List.copyOf(this.pending)) {
-					ClaimResult v = base.decide(i, History.this.now);
-					if (v instanceof ClaimResult.Unclaimed) {
+					ClaimResult result = base.decide(i, History.this.now);
+					if (result instanceof ClaimResult.Unclaimed) {
 						continue;
 					}
 					this.pending.remove(i);
-					if (v instanceof ClaimResult.Granted) {
+					if (result instanceof ClaimResult.Granted) {
 						History.this.runs.merge(i.key(), 1, Integer::sum);
 						this.running.put(i.attempt(), i);
 					}
@@ -183,11 +183,11 @@
 				Segment s = this.shard.toSegment(this.version);
 				String slot = "slot" + this.shard.slotOf(s.ref());
 				byte[] old = History.this.store.get(slot);
-				Segment o = (old != null) ? ShardCodec.decodeSegment(old) : null;
-				boolean done = o != null && o.ref().equals(s.ref());
-				long v = History.this.versions.getOrDefault(slot, 0L);
-				if (!done && ((o != null && !o.isOlderThan(s.ref()))
-						|| !compareAndSwap(slot, v, ShardCodec.encode(s), fault))) {
+				Segment stored = (old != null) ? ShardCodec.decodeSegment(old) : null;
+				boolean done = stored != null && stored.ref().equals(s.ref());
+				long slotVersion = History.this.versions.getOrDefault(slot, 0L);
+				if (!done && ((stored != null && !stored.isOlderThan(s.ref()))
+						|| !compareAndSwap(slot, slotVersion, ShardCodec.encode(s), fault))) {
 					this.shard = null;
 					return;
 				}
--- a/src/test/java/io/shallotspur/ledger/ShardTests.java
+++ b/src/test/java/io/shallotspur/ledger/ShardTests.java
@@ -29,42 +29,41 @@
 
 	@Test
 	void keyOlderThanTheWindowIsRefusedAndNotRunAgain() {
-		// A kiosk resends a key-card encoding request an hour later, after its ledger
-		// entry
-		// was dropped. Running it again would issue a second valid key.
-		Shard s = Shard.empty(LIMITS, 128);
-		ClaimResult v = s.decide(intent(1, 1_000, 1), 1_000 + LIMITS.windowMs());
-		assertThat(v).isEqualTo(new ClaimResult.Denied(RefusalCode.KEY_EXPIRED));
+		// A kiosk resends a key-card encoding request an hour later, after its
+		// ledger entry was dropped. Running it again would issue a second valid key.
+		Shard shard = Shard.empty(LIMITS, 128);
+		ClaimResult result = shard.decide(intent(1, 1_000, 1), 1_000 + LIMITS.windowMs());
+		assertThat(result).isEqualTo(new ClaimResult.Denied(RefusalCode.KEY_EXPIRED));
 		assertThat(LedgerRefusals.denied(RefusalCode.KEY_EXPIRED).outcome()).isEqualTo(Outcome.OUTCOME_UNKNOWN);
-		assertThat(s.decide(intent(1, 1_000, 1), 2_000)).isEqualTo(new ClaimResult.Unclaimed());
+		assertThat(shard.decide(intent(1, 1_000, 1), 2_000)).isEqualTo(new ClaimResult.Unclaimed());
 	}
 
 	@Test
 	void droppedKeysStayRefusedWhenClockLags() {
 		// A node whose clock is ahead drops a segment. By the clock of the next node, its
 		// keys are still within the window.
-		LedgerLimits l = LIMITS.withSegments(100, 4, 1_000);
-		Shard s = Shard.empty(l, 4).withIntents(List.of(intent(1, 1_000, 1), intent(2, 1_100, 2)));
-		s = s.withSealedHead(s.toSegment(1)).withBatch(new BatchId("n", 1, 1), 9_000);
-		assertThat(s.find(new KeyDigest(0, 1))).isEmpty();
-		assertThat(s.decide(intent(1, 1_000, 3), 1_200)).isEqualTo(new ClaimResult.Denied(RefusalCode.KEY_EXPIRED));
+		LedgerLimits limits = LIMITS.withSegments(100, 4, 1_000);
+		Shard shard = Shard.empty(limits, 4).withIntents(List.of(intent(1, 1_000, 1), intent(2, 1_100, 2)));
+		shard = shard.withSealedHead(shard.toSegment(1)).withBatch(new BatchId("n", 1, 1), 9_000);
+		assertThat(shard.find(new KeyDigest(0, 1))).isEmpty();
+		assertThat(shard.decide(intent(1, 1_000, 3), 1_200)).isEqualTo(new ClaimResult.Denied(RefusalCode.KEY_EXPIRED));
 	}
 
 	@Test
 	void fullShardRefusesNewKeysAndRetainsExistingOnes() {
-		LedgerLimits l = LIMITS.withSegments(100, 2, 1_000_000);
-		Shard s = Shard.empty(l, 2);
+		LedgerLimits limits = LIMITS.withSegments(100, 2, 1_000_000);
+		Shard shard = Shard.empty(limits, 2);
 		long key = 0;
-		while (s.decide(intent(key, KeyTime.NONE, key), 0) instanceof ClaimResult.Unclaimed) {
-			s = s.withIntents(List.of(intent(key, KeyTime.NONE, key))).withBatch(new BatchId("n", 1, key), 0);
-			s = s.shouldSeal() ? s.withSealedHead(s.toSegment(key)) : s;
+		while (shard.decide(intent(key, KeyTime.NONE, key), 0) instanceof ClaimResult.Unclaimed) {
+			shard = shard.withIntents(List.of(intent(key, KeyTime.NONE, key))).withBatch(new BatchId("n", 1, key), 0);
+			shard = shard.shouldSeal() ? shard.withSealedHead(shard.toSegment(key)) : shard;
 			key++;
 		}
 		assertThat(key).isGreaterThan(3);
-		assertThat(s.decide(intent(key, KeyTime.NONE, key), 0))
+		assertThat(shard.decide(intent(key, KeyTime.NONE, key), 0))
 			.isEqualTo(new ClaimResult.Denied(RefusalCode.KEY_REQUIRED));
 		for (long k = 0; k < key; k++) {
-			assertThat(s.decide(intent(k, KeyTime.NONE, 1_000), 0)).isInstanceOf(ClaimResult.AlreadyClaimed.class);
+			assertThat(shard.decide(intent(k, KeyTime.NONE, 1_000), 0)).isInstanceOf(ClaimResult.AlreadyClaimed.class);
 		}
 	}
 
@@ -72,16 +71,16 @@
 	void resultsOnlyAddCertainty() {
 		// Messages may be duplicated and reordered. If a stale "not run" message released
 		// an answered key, the next retry would run the request again.
-		Shard s = Shard.empty(LIMITS, 128).withIntents(List.of(intent(1, KeyTime.NONE, 1)));
-		Shard answered = s.withAttemptResults(List.of(result(1, new EntryState.Answered(null))));
+		Shard shard = Shard.empty(LIMITS, 128).withIntents(List.of(intent(1, KeyTime.NONE, 1)));
+		Shard answered = shard.withAttemptResults(List.of(result(1, new EntryState.Answered(null))));
 		assertThat(answered.withAttemptResults(List.of(result(1, new EntryState.NotStarted())))).isSameAs(answered);
 		assertThat(answered.withAttemptResults(List.of(result(1, new EntryState.Unknown())))).isSameAs(answered);
-		assertThat(s.withAttemptResults(List.of(result(2, new EntryState.NotStarted())))).isSameAs(s);
-		Shard unknown = s.withAttemptResults(List.of(result(1, new EntryState.Unknown())));
+		assertThat(shard.withAttemptResults(List.of(result(2, new EntryState.NotStarted())))).isSameAs(shard);
+		Shard unknown = shard.withAttemptResults(List.of(result(1, new EntryState.Unknown())));
 		assertThat(
 				unknown.withAttemptResults(List.of(result(1, new EntryState.Answered(null)))).find(new KeyDigest(0, 1)))
 			.hasValueSatisfying((e) -> assertThat(e.state()).isInstanceOf(EntryState.Answered.class));
-		Shard free = s.withAttemptResults(List.of(result(1, new EntryState.NotStarted())));
+		Shard free = shard.withAttemptResults(List.of(result(1, new EntryState.NotStarted())));
 		assertThat(free.withAttemptResults(List.of(result(1, new EntryState.Answered(null))))).isSameAs(free);
 		assertThat(free.decide(intent(1, KeyTime.NONE, 3), 0)).isEqualTo(new ClaimResult.Unclaimed());
 	}
@@ -92,12 +91,12 @@
 		List<AttemptResult> results = new ArrayList<>();
 		int n = (LIMITS.sealThresholdBytes() + 2 * LIMITS.maxBatchBytes()) / 72;
 		for (long i = 0; i < n; i++) {
-			Intent x = new Intent(new KeyDigest(~i, i), ~i, Long.MAX_VALUE - i, new Attempt("10.0.0.1:99", 1, ~i));
-			intents.add(x);
-			results.add(new AttemptResult(x.key(), x.attempt(), new EntryState.Answered(null)));
+			Intent intent = new Intent(new KeyDigest(~i, i), ~i, Long.MAX_VALUE - i, new Attempt("10.0.0.1:99", 1, ~i));
+			intents.add(intent);
+			results.add(new AttemptResult(intent.key(), intent.attempt(), new EntryState.Answered(null)));
 		}
-		Shard s = Shard.empty(LIMITS, 128).withIntents(intents).withAttemptResults(results);
-		assertThat(ShardCodec.encode(s.head()).length).isLessThanOrEqualTo(n * 72).isLessThan(1_000_000);
+		Shard shard = Shard.empty(LIMITS, 128).withIntents(intents).withAttemptResults(results);
+		assertThat(ShardCodec.encode(shard.head()).length).isLessThanOrEqualTo(n * 72).isLessThan(1_000_000);
 	}
 
 	@Test
@@ -108,53 +107,53 @@
 
 	@Test
 	void keyReusedWithAnotherBodyIsRefused() {
-		Shard s = Shard.empty(LIMITS, 128).withIntents(List.of(intent(1, KeyTime.NONE, 1)));
+		Shard shard = Shard.empty(LIMITS, 128).withIntents(List.of(intent(1, KeyTime.NONE, 1)));
 		Intent other = new Intent(new KeyDigest(0, 1), 99, KeyTime.NONE, new Attempt("n", 1, 2));
-		assertThat(s.decide(other, 0)).isEqualTo(new ClaimResult.Denied(RefusalCode.KEY_REUSED));
+		assertThat(shard.decide(other, 0)).isEqualTo(new ClaimResult.Denied(RefusalCode.KEY_REUSED));
 	}
 
 	@Test
 	void lateAndDuplicateChunksAreDropped() {
-		// A worker is slow, the request is retried, and the first worker's response then
-		// arrives late. The caller must not receive tokens of both.
-		AttemptFilter f = new AttemptFilter();
-		f.start(1);
-		assertThat(f.accept(1, 0)).isTrue();
-		assertThat(f.accept(1, 0)).isFalse();
-		assertThat(f.accept(1, 2)).isFalse();
-		f.start(2);
-		assertThat(f.accept(1, 1)).isFalse();
-		assertThat(f.accept(2, 1)).isTrue();
-		assertThat(f.end(1, 2)).isFalse();
-		assertThat(f.end(2, 3)).isFalse();
-		assertThat(f.end(2, 2)).isTrue();
-		assertThat(f.end(2, 2)).isFalse();
-		assertThat(f.accept(2, 2)).isFalse();
+		// A worker is slow, the request is retried, and the first worker's response
+		// then arrives late. The caller must not receive tokens of both.
+		AttemptFilter filter = new AttemptFilter();
+		filter.start(1);
+		assertThat(filter.accept(1, 0)).isTrue();
+		assertThat(filter.accept(1, 0)).isFalse();
+		assertThat(filter.accept(1, 2)).isFalse();
+		filter.start(2);
+		assertThat(filter.accept(1, 1)).isFalse();
+		assertThat(filter.accept(2, 1)).isTrue();
+		assertThat(filter.end(1, 2)).isFalse();
+		assertThat(filter.end(2, 3)).isFalse();
+		assertThat(filter.end(2, 2)).isTrue();
+		assertThat(filter.end(2, 2)).isFalse();
+		assertThat(filter.accept(2, 2)).isFalse();
 	}
 
 	@Test
 	void inMemoryLedgerJoinsWaitersReplaysAnswersAndExpiresDeadlines() {
-		InMemoryLedger l = new InMemoryLedger();
+		InMemoryLedger ledger = new InMemoryLedger();
 		IntentKey k = new IntentKey("c", "k1");
-		assertThat(l.begin(k, 1, 0, 100).block()).isInstanceOf(IntentDecision.Run.class);
+		assertThat(ledger.begin(k, 1, 0, 100).block()).isInstanceOf(IntentDecision.Run.class);
 		AtomicReference<IntentDecision> late = new AtomicReference<>();
 		AtomicReference<IntentDecision> joined = new AtomicReference<>();
-		l.begin(k, 1, 1, 50).subscribe(late::set);
-		l.begin(k, 1, 1, 500).subscribe(joined::set);
-		assertThat(l.nextWake()).isEqualTo(50);
-		l.advance(50);
+		ledger.begin(k, 1, 1, 50).subscribe(late::set);
+		ledger.begin(k, 1, 1, 500).subscribe(joined::set);
+		assertThat(ledger.nextWake()).isEqualTo(50);
+		ledger.advance(50);
 		assertThat(late.get()).isInstanceOfSatisfying(IntentDecision.Refused.class,
 				(r) -> assertThat(r.refusal().outcome()).isEqualTo(Outcome.OUTCOME_UNKNOWN));
-		l.recordNotRun(k, 60).block();
+		ledger.recordNotRun(k, 60).block();
 		assertThat(joined.get()).isInstanceOf(IntentDecision.Run.class);
-		l.recordAnswer(k, new byte[] { 7 }, 70).block();
-		assertThat(l.begin(k, 1, 80, 100).block()).isInstanceOfSatisfying(IntentDecision.Answered.class,
+		ledger.recordAnswer(k, new byte[] { 7 }, 70).block();
+		assertThat(ledger.begin(k, 1, 80, 100).block()).isInstanceOfSatisfying(IntentDecision.Answered.class,
 				(a) -> assertThat(a.answer()).containsExactly(7));
-		assertThat(l.begin(k, 2, 80, 100).block()).isInstanceOf(IntentDecision.Refused.class);
+		assertThat(ledger.begin(k, 2, 80, 100).block()).isInstanceOf(IntentDecision.Refused.class);
 	}
 
-	private static AttemptResult result(long attempt, EntryState s) {
-		return new AttemptResult(new KeyDigest(0, 1), new Attempt("n", 1, attempt), s);
+	private static AttemptResult result(long attempt, EntryState state) {
+		return new AttemptResult(new KeyDigest(0, 1), new Attempt("n", 1, attempt), state);
 	}
 
 	private static Intent intent(long key, long time, long attempt) {
