--- a/src/main/java/io/shallotspur/ledger/LedgerRefusals.java
+++ b/src/main/java/io/shallotspur/ledger/LedgerRefusals.java
@@ -4,9 +4,9 @@
 import io.shallotspur.outcome.RefusalCode;
 
 /**
- * The rule that turns what the ledger knows into what a caller is told. A caller is told
- * "not run" only if nothing of the key was or will be run as far as the ledger can know;
- * whenever it may have been run, the caller is told that the outcome is unknown.
+ * Maps ledger states to refusals. A refusal reports "not run" only if, as far as the
+ * ledger can know, no request with the key was or will be run. If one may have been run,
+ * the refusal reports an unknown outcome.
  */
 public final class LedgerRefusals {
 
@@ -14,17 +14,17 @@
 	}
 
 	/**
-	 * The store could not be reached in time; nothing was dispatched by this call. A key
-	 * that is older than a first try would be is taken for a resend, whose first try may
-	 * have been run.
-	 * @param maybeResend whether the key is that old
-	 * @param retryAfterMs when to come back, in milliseconds
+	 * Creates the refusal for a store that could not be reached in time; this call
+	 * dispatched nothing. A key too old for a first attempt is treated as that of a
+	 * retry, whose first attempt may have been run.
+	 * @param possibleRetry whether the key is too old for a first attempt
+	 * @param retryAfterMs delay before a retry, in milliseconds
 	 * @return the refusal
 	 */
-	public static Refusal storeUnavailable(boolean maybeResend, long retryAfterMs) {
-		if (maybeResend) {
+	public static Refusal storeUnavailable(boolean possibleRetry, long retryAfterMs) {
+		if (possibleRetry) {
 			return Refusal.outcomeUnknown(RefusalCode.STORE_UNAVAILABLE,
-					"This call was not run. Whether an earlier one with this key was run cannot be read now; "
+					"This call was not run. It cannot be determined now whether an earlier call with this key was run; "
 							+ "send it again with the same key.");
 		}
 		return Refusal.notRun(RefusalCode.STORE_UNAVAILABLE,
@@ -33,35 +33,37 @@
 	}
 
 	/**
-	 * An earlier call with the key may have been run and its answer is lost.
+	 * Creates the refusal for a key whose earlier call may have been run and whose answer
+	 * is lost.
 	 * @return the refusal
 	 */
 	public static Refusal outcomeUnknown() {
 		return Refusal.outcomeUnknown(RefusalCode.OUTCOME_UNKNOWN,
-				"A call with this key may have been run and its answer is lost. It is not run again.");
+				"A call with this key may have been run, but its answer is lost. The request is not run again.");
 	}
 
 	/**
-	 * An earlier call with the key is still running.
+	 * Creates the refusal for a key whose earlier call is still running.
 	 * @return the refusal
 	 */
 	public static Refusal stillRunning() {
 		return Refusal.outcomeUnknown(RefusalCode.DEADLINE_PASSED,
-				"A call with this key is running and its answer is not there yet. It is not run again.");
+				"A call with this key is still running and has no answer yet. The request is not run again.");
 	}
 
 	/**
-	 * The key was answered and the answer is gone.
+	 * Creates the refusal for a request that was answered but whose answer is no longer
+	 * retained.
 	 * @return the refusal
 	 */
 	public static Refusal answerNotRetained() {
 		return Refusal.outcomeUnknown(RefusalCode.OUTCOME_UNKNOWN,
-				"The request was run and answered; the answer is no longer kept. It is not run again.");
+				"The request was run and answered, but the answer is no longer kept. It is not run again.");
 	}
 
 	/**
-	 * The key cannot be used.
-	 * @param code why
+	 * Creates the refusal for a key that cannot be used.
+	 * @param code the reason
 	 * @return the refusal
 	 */
 	public static Refusal denied(RefusalCode code) {
@@ -69,11 +71,11 @@
 			case KEY_REUSED ->
 				Refusal.notRun(code, "The key was used before with another body; this body was not run.", 0);
 			case KEY_EXPIRED -> Refusal.outcomeUnknown(code,
-					"The key is older than the window in which keys are remembered; it may have been run.");
+					"The key is older than the retention window of keys; the request may have been run.");
 			case MALFORMED_REQUEST ->
-				Refusal.notRun(code, "The time that the key carries lies in the future; the call was not run.", 0);
+				Refusal.notRun(code, "The timestamp of the key is too far in the future; the call was not run.", 0);
 			case KEY_REQUIRED -> Refusal.notRun(code,
-					"No more keys without a time can be remembered. Send a key that carries its time.", 0);
+					"No more keys without a timestamp can be stored. Send a key that contains a timestamp.", 0);
 			default -> Refusal.notRun(code, "The ledger is full; the call was not run.", 1_000);
 		};
 	}
