--- a/src/main/java/io/shallotspur/distribution/AntiEntropy.java
+++ b/src/main/java/io/shallotspur/distribution/AntiEntropy.java
@@ -32,18 +32,19 @@
 	}
 
 	/**
-	 * Creates the reply to the first request.
+	 * Creates the reply to the first request of an exchange, the comparison of two
+	 * tables.
 	 * @param table the table of the responder
 	 * @param ready whether the table is complete
 	 * @param request the request
-	 * @return the reply
+	 * @return the group hashes; empty if the tables are equal
 	 */
 	public static DigestReply reply(ContractTable table, boolean ready, DigestRequest request) {
 		return new DigestReply(ready, (request.digest() == table.digest()) ? new long[0] : table.groupDigests());
 	}
 
 	/**
-	 * Creates the second request.
+	 * Creates the second request of an exchange, for leaf hashes.
 	 * @param table the table of the requester
 	 * @param reply the reply to the first request
 	 * @return a request for the groups that differ, which is empty if none does
@@ -58,10 +59,10 @@
 	}
 
 	/**
-	 * Creates the reply to the second request.
+	 * Creates the reply to the second request of an exchange.
 	 * @param table the table of the responder
 	 * @param request the request
-	 * @return the reply
+	 * @return the leaf hashes of the requested groups
 	 */
 	public static LeavesReply reply(ContractTable table, LeavesRequest request) {
 		return new LeavesReply(IntStream.of(request.groups())
@@ -72,7 +73,7 @@
 	}
 
 	/**
-	 * Creates the third request.
+	 * Creates the third request of an exchange, for contracts.
 	 * @param table the table of the requester
 	 * @param request the second request
 	 * @param reply the reply to the second request
@@ -97,7 +98,7 @@
 	}
 
 	/**
-	 * Creates the reply to the third request.
+	 * Creates the reply to the third request of an exchange.
 	 * @param table the table of the responder
 	 * @param request the request
 	 * @return the contracts that are newer than those of the requester
--- a/src/main/java/io/shallotspur/gateway/RecentRefusals.java
+++ b/src/main/java/io/shallotspur/gateway/RecentRefusals.java
@@ -15,9 +15,10 @@
  */
 final class RecentRefusals {
 
-	// A worker that has refused a request may have memory for one that needs at most this
-	// fraction of it: request sizes vary by half of their mean, and each further attempt
-	// costs a call.
+	// A request is still sent to a worker that has recently refused one if it needs less
+	// than this fraction of the refused memory. Request sizes vary by half of their mean,
+	// so a clearly smaller request may fit; one of similar size would probably be refused
+	// too, and each attempt costs a call.
 	private static final double SMALLER_REQUEST_RATIO = 0.75;
 
 	private final Map<String, Refusal> byWorker = new HashMap<>();
@@ -26,13 +27,15 @@
 	 * Records a refusal.
 	 * @param workerId the worker
 	 * @param tokens the memory that was requested, in tokens
-	 * @param blockedUntil until when all but clearly smaller requests skip the worker, in
-	 * milliseconds
-	 * @param lateBlockedUntil until when late requests skip it, in milliseconds
+	 * @param blockedUntil time until which the worker is skipped for requests that are
+	 * not clearly smaller than the refused one, in milliseconds
+	 * @param lateBlockedUntil time until which the worker is skipped for requests that
+	 * can no longer meet their latency objective, whatever their size, in milliseconds
 	 * @param now the present time in milliseconds
 	 */
 	void recordRefusal(String workerId, int tokens, long blockedUntil, long lateBlockedUntil, long now) {
-		// Workers that have left refuse no more, and restart under new ids.
+		// Removes expired refusals. A worker gets a new id when it restarts, so the entry
+		// of one that has left would never be replaced.
 		this.byWorker.values().removeIf((r) -> now >= r.lateBlockedUntil());
 		Refusal previous = this.byWorker.get(workerId);
 		int minTokens = (previous != null && now < previous.blockedUntil()) ? Math.min(tokens, previous.tokens())
@@ -43,8 +46,8 @@
 	/**
 	 * Records that a slot has become free at a worker.
 	 * @param workerId the worker
-	 * @param lateBlockedUntil until when the slot is kept for requests that are not late,
-	 * in milliseconds
+	 * @param lateBlockedUntil time until which the slot is kept for requests that can
+	 * still meet their latency objective, in milliseconds
 	 * @param now the present time in milliseconds
 	 */
 	void recordFreedSlot(String workerId, long lateBlockedUntil, long now) {
@@ -55,7 +58,7 @@
 	 * Tells whether a worker may have a free slot for a request.
 	 * @param workerId the worker
 	 * @param tokens the memory that is needed, in tokens
-	 * @param late whether the request is late
+	 * @param late whether the request can no longer meet its latency objective
 	 * @param now the present time in milliseconds
 	 * @return {@code false} if the worker is to be skipped
 	 */
@@ -87,9 +90,10 @@
 	 * The last refusal of a worker. Immutable.
 	 *
 	 * @param tokens the smallest amount of memory that it refused, in tokens
-	 * @param blockedUntil until when all but clearly smaller requests skip it, in
-	 * milliseconds
-	 * @param lateBlockedUntil until when late requests skip it, in milliseconds
+	 * @param blockedUntil time until which it is skipped for requests that are not
+	 * clearly smaller than the refused one, in milliseconds
+	 * @param lateBlockedUntil time until which it is skipped for requests that can no
+	 * longer meet their latency objective, whatever their size, in milliseconds
 	 */
 	private record Refusal(int tokens, long blockedUntil, long lateBlockedUntil) {
 
--- a/src/main/java/io/shallotspur/gateway/ResponseProgress.java
+++ b/src/main/java/io/shallotspur/gateway/ResponseProgress.java
@@ -19,8 +19,10 @@
 	private long firstByteAt;
 
 	/**
-	 * Creates the progress of a response that has not started at this VM.
-	 * @param engine the engines of the upstream, or {@code null} for a plain upstream
+	 * Creates an instance for a response of which this VM has received nothing yet.
+	 * @param engine the engine properties of the upstream, or {@code null} for a plain
+	 * upstream, whose workers serve whole requests without separate prefill and decode
+	 * stages
 	 * @param lastEventId the event after which the response resumes, or {@code null}
 	 */
 	ResponseProgress(@Nullable EngineSpec engine, @Nullable String lastEventId) {
--- a/src/main/java/io/shallotspur/outcome/RefusalCode.java
+++ b/src/main/java/io/shallotspur/outcome/RefusalCode.java
@@ -17,12 +17,12 @@
 	UNAUTHORIZED("unauthorized", 401),
 
 	/**
-	 * The contract does not contain the requested class.
+	 * The contract does not contain the request class.
 	 */
 	UNKNOWN_CLASS("unknown-class", 404),
 
 	/**
-	 * The upstream does not exist or does not serve the class.
+	 * The upstream does not exist or does not serve the request class.
 	 */
 	UNKNOWN_UPSTREAM("unknown-upstream", 404),
 
@@ -37,7 +37,7 @@
 	BODY_TOO_LARGE("body-too-large", 413),
 
 	/**
-	 * Requests of the class are not repeatable and the request has no Idempotency-Key.
+	 * The request class is not repeatable, and the request has no Idempotency-Key.
 	 */
 	KEY_REQUIRED("key-required", 400),
 
@@ -62,7 +62,7 @@
 	DEADLINE_PASSED("deadline-passed", 504),
 
 	/**
-	 * The queue of the class is full.
+	 * The queue of the request class is full.
 	 */
 	QUEUE_FULL("queue-full", 503),
 
--- a/src/main/java/io/shallotspur/platform/PlatformNames.java
+++ b/src/main/java/io/shallotspur/platform/PlatformNames.java
@@ -89,19 +89,28 @@
 
 	static final String WORKER_PREFIX = "servers/";
 
-	/** Prefix of the keys of this system's entry VMs, one for each process start. */
+	/** Prefix of the registrations of entry VMs, one key for each process start. */
 	static final String VM_PREFIX = "vms/";
 
-	/** Key of this system: the entry VM that currently sends stage orders to workers. */
+	/**
+	 * Key that names the current leader: the entry VM that sends stage orders to workers.
+	 */
 	static final String STAGE_LEADER_KEY = "duties/stages";
 
-	/** Prefix of keys of this system: one for each worker that is changing its stage. */
+	/**
+	 * Prefix of announced stage changes, one key for each worker that changes its stage.
+	 */
 	static final String STAGE_CHANGE_PREFIX = "stages/";
 
-	/** Prefix of keys of this system: engine statistics for each upstream. */
+	/**
+	 * Prefix of the engine statistics that entry VMs share, one key for each upstream.
+	 */
 	static final String ENGINE_STATS_PREFIX = "figures/";
 
-	/** Key of this system: the latest store era in which a VM saw lost data rewritten. */
+	/**
+	 * Key of the latest store era that has settled: an entry VM recorded that the
+	 * operator and the workers have had time to rewrite data lost in the restore.
+	 */
 	static final String SETTLED_ERA_KEY = "eras/settled";
 
 	// Hop-by-hop headers, and headers that only this system may set. A caller that set
--- a/src/main/java/io/shallotspur/platform/StoreClient.java
+++ b/src/main/java/io/shallotspur/platform/StoreClient.java
@@ -92,7 +92,7 @@
 	}
 
 	/**
-	 * Returns the store's era.
+	 * Returns the store's era: how often it has been restored from a snapshot.
 	 * @return the era; 0 if the store reports none
 	 */
 	long era() {
@@ -189,7 +189,8 @@
 	 *
 	 * @param status the status
 	 * @param body the body; an empty object if there was none
-	 * @param era the era of the store that sent it
+	 * @param era the era of the store when it sent the response: how often it had been
+	 * restored from a snapshot, by its own count
 	 */
 	record Reply(int status, JsonNode body, long era) {
 
--- a/src/main/java/io/shallotspur/platform/StoreEntryCodec.java
+++ b/src/main/java/io/shallotspur/platform/StoreEntryCodec.java
@@ -38,7 +38,8 @@
 	/**
 	 * Decodes an item or an event.
 	 * @param item the item or event
-	 * @param era the era of the store that sent it
+	 * @param era the era of the store when it sent the response: how often it had been
+	 * restored from a snapshot, by its own count
 	 * @return the change, {@link RegistryChange.EntryUnreadable} if the entry is
 	 * malformed, or empty if the key is not used by entry VMs
 	 */
--- a/src/main/java/io/shallotspur/registry/ChangeApplier.java
+++ b/src/main/java/io/shallotspur/registry/ChangeApplier.java
@@ -177,8 +177,8 @@
 		else if (c instanceof RegistryChange.WorkerRemoved e) {
 			recordRemoval(e.id(), graces, now);
 			this.gateway.roster().entryRemoved(e.id(), graces.workerEndsAt());
-			Logger.info("[registry] worker={} gone grace-ms={} news-ms={} store-failed-ms={} point={}", e.id(),
-					graces.workerRemainingMs(now), graces.updateAgeMs(), graces.sinceFailureMs(), position);
+			Logger.info("[registry] worker entry removed worker={} grace-ms={} news-ms={} store-failed-ms={} point={}",
+					e.id(), graces.workerRemainingMs(now), graces.updateAgeMs(), graces.sinceFailureMs(), position);
 		}
 		else if (c instanceof RegistryChange.VmUpdated e) {
 			this.gateway.entryVms().register(e.vm());
@@ -242,7 +242,7 @@
 	}
 
 	private void removeVm(RegistryChange.VmRemoved e, StorePosition position, GracePeriods graces, long now) {
-		Logger.info("[registry] vm={} gone point={}", e.key(), position);
+		Logger.info("[registry] VM entry removed vm={} point={}", e.key(), position);
 		if (e.key().equals(this.ownKey)) {
 			this.onOwnRemoved.run();
 		}
--- a/src/main/java/io/shallotspur/registry/EraTracker.java
+++ b/src/main/java/io/shallotspur/registry/EraTracker.java
@@ -3,8 +3,9 @@
 import java.util.OptionalLong;
 
 /**
- * Tracks the store's era and compares each response with it. Not thread-safe; confined to
- * the gateway's thread.
+ * Tracks the store's era, which is the store's own count of its restores from a snapshot,
+ * and compares the era of each response with it. Not thread-safe; confined to the
+ * gateway's thread.
  * <p>
  * Invariant: the era never decreases. A response of an earlier era, delayed on another
  * connection, describes data that the store no longer has.
@@ -35,11 +36,11 @@
 
 	/**
 	 * Processes the era of a response. A response without an era is current as long as no
-	 * response has named one, because such a store has no eras. After that it could
-	 * belong to any era.
+	 * response has named one, because such a store does not count its restores. After
+	 * that it could belong to any era.
 	 * @param received the era of the response, or empty if it has none or an unreadable
 	 * one
-	 * @return how the era compares with the known one
+	 * @return how the era compares with the latest known one
 	 */
 	public EraStatus observe(OptionalLong received) {
 		long next = received.orElse(NO_ERA);
@@ -56,17 +57,26 @@
 	}
 
 	/**
-	 * How the era of a response compares with the known era.
+	 * How the era of a response compares with the latest known era.
 	 */
 	public enum EraStatus {
 
-		/** The response is of the known era. */
+		/**
+		 * The response names the latest known era, or it is the first one received: no
+		 * restore of the store was observed.
+		 */
 		CURRENT,
 
-		/** The store was restored from an older snapshot. */
+		/**
+		 * The response names a later era than all before: the store was restored from an
+		 * older snapshot.
+		 */
 		RESTORED,
 
-		/** The response is of an earlier era, or of an unknown one. */
+		/**
+		 * The response names an earlier era, or none although a previous response named
+		 * one: it may describe data from before the last restore.
+		 */
 		OUTDATED
 
 	}
--- a/src/main/java/io/shallotspur/registry/RegistryChange.java
+++ b/src/main/java/io/shallotspur/registry/RegistryChange.java
@@ -119,7 +119,7 @@
 	}
 
 	/**
-	 * The announcement for a worker was removed.
+	 * The announcement of a worker's stage change was removed.
 	 *
 	 * @param worker the worker's id
 	 */
--- a/src/main/java/io/shallotspur/registry/SharedEngineStats.java
+++ b/src/main/java/io/shallotspur/registry/SharedEngineStats.java
@@ -150,7 +150,7 @@
 				else {
 					unblockLater(upstream);
 				}
-				Logger.info("[figures] upstream={} told={} done={}", upstream, sum, done);
+				Logger.info("[figures] publish attempt completed upstream={} told={} done={}", upstream, sum, done);
 			}, (ex) -> {
 				unblockLater(upstream);
 				Logger.info("[figures] not published upstream={} seen=\"{}\"", upstream, ex.toString());
--- a/src/main/java/io/shallotspur/registry/VmRegistration.java
+++ b/src/main/java/io/shallotspur/registry/VmRegistration.java
@@ -164,7 +164,7 @@
 	}
 
 	private void onRenewalFailed(Throwable ex, long l) {
-		Logger.warn("[registry] lease not renewed vm={} seen=\"{}\"", this.vm.key(), ex.toString());
+		Logger.warn("[registry] lease renewal failed vm={} seen=\"{}\"", this.vm.key(), ex.toString());
 		this.noAnswerListener.run();
 		if (!this.registering && l == this.lease) {
 			schedule(RETRY_MS, this::renew);
--- a/src/main/java/io/shallotspur/routing/CellLayout.java
+++ b/src/main/java/io/shallotspur/routing/CellLayout.java
@@ -63,8 +63,9 @@
 	}
 
 	/**
-	 * Computes the layout.
-	 * @param workers all workers; plain ones are ignored
+	 * Partitions workers into cells, separately for each upstream.
+	 * @param workers all workers; those with the role {@link WorkerRole#PLAIN} are
+	 * ignored, because they serve upstreams without separate prefill and decode stages
 	 * @return the layout
 	 */
 	public static CellLayout of(Collection<Worker> workers) {
--- a/src/test/java/io/shallotspur/gateway/PrefillTests.java
+++ b/src/test/java/io/shallotspur/gateway/PrefillTests.java
@@ -193,7 +193,8 @@
 		}
 	}
 
-	// The last prefill, with index 12, belongs to a caller that may resume.
+	// The last prefill, with index 12, belongs to a request on the resumable route, which
+	// allows two attempts, so the prefill is repeated if it fails.
 	private void startSlowPrefills() {
 		setSharedStatistics();
 		recordSlowPrefills();
--- a/src/test/java/io/shallotspur/gateway/StreamRelayTests.java
+++ b/src/test/java/io/shallotspur/gateway/StreamRelayTests.java
@@ -77,7 +77,7 @@
 	// all others are full for a moment. The wait to resume may be as long as the initial
 	// wait; giving up at once would leave the caller with half a response.
 	@Test
-	void waitsToResumeAsLongAsForTheFirstAttempt() {
+	void allowsResumptionToWaitAsLongAsFirstAttempt() {
 		Call c = startStream("resume");
 		this.f.workers.lastRun().respondHead(200);
 		this.f.workers.lastRun().sendEvents(GatewayFixture.EVENTS);
--- a/src/test/java/io/shallotspur/platform/BindRetryTests.java
+++ b/src/test/java/io/shallotspur/platform/BindRetryTests.java
@@ -33,8 +33,8 @@
 		return TcpServer.create().host("127.0.0.1").port(port).runOn(this.loop.resources(), false).bind();
 	}
 
-	// While a killed VM was down, its port was assigned to another connection. The
-	// restarted VM exited at once with code 1 and stayed down.
+	// While a killed VM is down, its port can be taken as the local port of another
+	// connection. Without retries the restarted VM exits with code 1 and stays down.
 	@Test
 	void retriesUntilThePortIsFree() throws IOException {
 		ServerSocket other = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
--- a/src/test/java/io/shallotspur/registry/RevocationModelTests.java
+++ b/src/test/java/io/shallotspur/registry/RevocationModelTests.java
@@ -132,7 +132,8 @@
 	}
 
 	/**
-	 * One VM, the store and the clocks. Not thread-safe.
+	 * Simulates one VM, the store that it reads its configuration from, and the VM's
+	 * clocks, and records violations of the tested property. Not thread-safe.
 	 */
 	private static final class World extends NopWorkers {
 
--- a/src/test/java/io/shallotspur/registry/WorkerDrainModelTests.java
+++ b/src/test/java/io/shallotspur/registry/WorkerDrainModelTests.java
@@ -119,7 +119,8 @@
 	}
 
 	/**
-	 * One VM, the store, a worker that leaves and one that stays. Not thread-safe.
+	 * Simulates one VM, the store, a worker that leaves and one that stays, and records
+	 * violations of the tested properties. Not thread-safe.
 	 */
 	private static final class World {
 
--- a/src/test/java/io/shallotspur/stage/StagePlannerTests.java
+++ b/src/test/java/io/shallotspur/stage/StagePlannerTests.java
@@ -12,10 +12,11 @@
  */
 class StagePlannerTests {
 
-	// 42,411 tokens of memory, prompts of 3,200 tokens, responses of 830 tokens in 3.5 s.
+	// Decode workers have KV cache memory for 42,411 tokens. Requests have prompts of
+	// 3,200 tokens and responses of 830 tokens, which take 3.5 s to generate.
 	private static final ThroughputModel LONG_RESPONSES = new ThroughputModel(103, 3_600, 10);
 
-	// Prefill takes 50 % longer than above; used with many decode workers.
+	// Prefill takes 50 % longer than in LONG_RESPONSES; used with many decode workers.
 	private static final ThroughputModel SLOW_PREFILL = new ThroughputModel(157, 3_650, 9);
 
 	private static final ThroughputModel SHORT_RESPONSES = new ThroughputModel(400, 200, 10);
