--- a/src/main/java/io/shallotspur/cell/CellDispatcher.java
+++ b/src/main/java/io/shallotspur/cell/CellDispatcher.java
@@ -85,7 +85,7 @@
 			if (p == null) {
 				Placement warmUp = placeForWarmUp(j, selector);
 				selection.placement = warmUp;
-				return warmUp != null && keepsSlotReserve(warmUp, slots, now);
+				return warmUp != null && hasSlotReserve(warmUp, slots, now);
 			}
 			boolean slotExpected = !this.settings.isEnabled(CellFeature.RESERVATION)
 					|| slots.freeSlotsAfter(p.readyAt() - now) >= 1;
@@ -125,7 +125,7 @@
 	 * @param now the current time in milliseconds
 	 * @return whether the request may start
 	 */
-	boolean keepsSlotReserve(Placement warmUp, SlotForecast slots, long now) {
+	boolean hasSlotReserve(Placement warmUp, SlotForecast slots, long now) {
 		return slots.freeSlotsAfter(warmUp.readyAt() - now) >= WARM_UP_SLOT_RESERVE * this.fleet.declaredSlots();
 	}
 
--- a/src/main/java/io/shallotspur/cell/CellReportHandler.java
+++ b/src/main/java/io/shallotspur/cell/CellReportHandler.java
@@ -39,7 +39,7 @@
 			if (j != null) {
 				j.generatedTokens += e.count();
 				j.attemptTokens += e.count();
-				if (this.lifecycle.clearSuspicionIfProven(j)) {
+				if (this.lifecycle.endIsolationIfProven(j)) {
 					this.crashSuspects.recordProgress(j.request.fingerprint(), now);
 				}
 			}
--- a/src/main/java/io/shallotspur/cell/CellSettings.java
+++ b/src/main/java/io/shallotspur/cell/CellSettings.java
@@ -27,7 +27,7 @@
  * @param maxAttempts maximum number of attempts per request, default 4
  * @param slotConfidence number of standard deviations that the forecast of free slots
  * subtracts from the expected value, default 1
- * @param suspectClearTokens number of tokens after which a suspect of a single crash is
+ * @param isolationTokens number of tokens after which a suspect of a single crash is
  * cleared if no further crash occurs, default 16
  * @param takeoverSlots slots per decode worker that a new owner uses until the former
  * owner is known to have stopped, default 4
@@ -35,7 +35,7 @@
 public record CellSettings(Set<CellFeature> features, double initialPrefillMsPerToken, double initialStepMs,
 		double initialStepMsPerRequest, int initialOutputTokens, int queueLimit, int lookahead, long kvExpiryMarginMs,
 		long minStallMarginMs, double retryRatio, double minRetries, int maxAttempts, double slotConfidence,
-		int suspectClearTokens, int takeoverSlots) {
+		int isolationTokens, int takeoverSlots) {
 
 	public CellSettings {
 		features = Set.copyOf(features);
@@ -58,7 +58,7 @@
 		return new CellSettings(features, this.initialPrefillMsPerToken, this.initialStepMs,
 				this.initialStepMsPerRequest, this.initialOutputTokens, this.queueLimit, this.lookahead,
 				this.kvExpiryMarginMs, this.minStallMarginMs, this.retryRatio, this.minRetries, this.maxAttempts,
-				this.slotConfidence, this.suspectClearTokens, this.takeoverSlots);
+				this.slotConfidence, this.isolationTokens, this.takeoverSlots);
 	}
 
 	/**
--- a/src/main/java/io/shallotspur/cell/CrashIsolation.java
+++ b/src/main/java/io/shallotspur/cell/CrashIsolation.java
@@ -34,7 +34,7 @@
 		boolean isolate = this.settings.isEnabled(CellFeature.CRASH_ISOLATION);
 		j.suspect = isolate && this.crashSuspects.isSuspect(j.request.fingerprint(), now);
 		if (j.crashCount == 0) {
-			j.clearAfterTokens = this.settings.suspectClearTokens();
+			j.clearAfterTokens = this.settings.isolationTokens();
 		}
 	}
 
--- a/src/main/java/io/shallotspur/cell/JobLifecycle.java
+++ b/src/main/java/io/shallotspur/cell/JobLifecycle.java
@@ -234,7 +234,7 @@
 		job.crashCount++;
 		job.clearAfterTokens = job.attemptTokens + 2;
 		if (job.crashCount == 1) {
-			job.clearAfterTokens = Math.min(job.clearAfterTokens, this.settings.suspectClearTokens());
+			job.clearAfterTokens = Math.min(job.clearAfterTokens, this.settings.isolationTokens());
 		}
 		return job.request.fingerprint();
 	}
@@ -245,7 +245,7 @@
 	// their deadlines. Clearing it also keeps it from being suspected of the next crash.
 	// A request that was on the worker at a second crash must run past the point that it
 	// had reached itself before it is cleared again.
-	boolean clearSuspicionIfProven(Job job) {
+	boolean endIsolationIfProven(Job job) {
 		DecodeWorker d = job.decodeWorker;
 		if (!job.suspect || d == null || job.attemptTokens < job.clearAfterTokens) {
 			return false;
--- a/src/main/java/io/shallotspur/cell/StdCellScheduler.java
+++ b/src/main/java/io/shallotspur/cell/StdCellScheduler.java
@@ -320,7 +320,7 @@
 			return;
 		}
 		Placement warmUp = this.dispatcher.placeForWarmUp(j, selector);
-		if (warmUp != null && this.dispatcher.keepsSlotReserve(warmUp, this.dispatcher.forecastSlots(now), now)) {
+		if (warmUp != null && this.dispatcher.hasSlotReserve(warmUp, this.dispatcher.forecastSlots(now), now)) {
 			this.lifecycle.startPrefill(j, warmUp, now);
 		}
 		else {
--- a/src/main/java/io/shallotspur/gateway/RelayTask.java
+++ b/src/main/java/io/shallotspur/gateway/RelayTask.java
@@ -142,7 +142,7 @@
 		}
 		WorkerState w = this.attempt.worker();
 		this.gateway.updateWorkerStatus(w, head.workerStatus(), this.attemptStartedAt);
-		if (head.otherIncarnation()) {
+		if (head.instanceReplaced()) {
 			this.gateway.roster.instanceReplaced(w.info().id(), this.placing.stage(), this.gateway.clock.getAsLong());
 		}
 	}
--- a/src/main/java/io/shallotspur/gateway/ResponseHead.java
+++ b/src/main/java/io/shallotspur/gateway/ResponseHead.java
@@ -10,12 +10,12 @@
  * @param authenticity whether the response is known to be the worker's response to this
  * request
  * @param notRun whether the worker states that it has not run the request and never will
- * @param otherIncarnation whether another incarnation of the worker has the address, so
+ * @param instanceReplaced whether another incarnation of the worker has the address, so
  * that the addressed one is gone
  * @param workerStatus load and limit that the worker reported with the response
  */
 public record ResponseHead(int status, List<HeaderField> headers, ResponseAuthenticity authenticity, boolean notRun,
-		boolean otherIncarnation, WorkerStatus workerStatus) {
+		boolean instanceReplaced, WorkerStatus workerStatus) {
 
 	private static final int MIN_SUCCESS_STATUS = 200;
 
--- a/src/main/java/io/shallotspur/platform/HttpWorkerPort.java
+++ b/src/main/java/io/shallotspur/platform/HttpWorkerPort.java
@@ -177,7 +177,7 @@
 			listener.onReady(p.handle());
 		}
 		else if (p.head().notRun()) {
-			listener.onRefused(status, p.head().otherIncarnation());
+			listener.onRefused(status, p.head().instanceReplaced());
 		}
 		else {
 			listener.onFailure(new ExchangeFailure(true, status));
--- a/src/main/java/io/shallotspur/platform/PlatformSettings.java
+++ b/src/main/java/io/shallotspur/platform/PlatformSettings.java
@@ -108,10 +108,10 @@
 	 * @param fenced whether workers reject orders with a lower fencing token than one
 	 * they have seen; if not, no orders are sent, because a VM that was paused could
 	 * revert the orders of its successor
-	 * @param takeoverDelayMs how long a VM waits before it sends orders after taking over
-	 * that role, in milliseconds
+	 * @param handoverMs how long a VM waits before it sends orders after taking over that
+	 * role, in milliseconds
 	 */
-	record OrderSettings(boolean fenced, long takeoverDelayMs) {
+	record OrderSettings(boolean fenced, long handoverMs) {
 
 	}
 
--- a/src/main/java/io/shallotspur/platform/PlatformVm.java
+++ b/src/main/java/io/shallotspur/platform/PlatformVm.java
@@ -95,7 +95,7 @@
 		this.watcher.setOwnRegistration(self.key(), this.registration::start);
 		this.registration.setNoAnswerListener(this.watcher::onCallUnanswered);
 		Leadership leadership = new Leadership(registry, this.registration, this.gateway.entryVms(), self.key(),
-				s.orders().takeoverDelayMs(), this.clock);
+				s.orders().handoverMs(), this.clock);
 		this.watcher.setLeadership(leadership);
 		this.stages = new StageRebalancer(s.gateway().vmName(), this.gateway, leadership,
 				new HttpStagePort(workers.controlClient(), this.loop), this.loop, this.clock,
@@ -108,7 +108,7 @@
 		this.watcher.addRestoreListener((ms) -> this.metrics.registry().counter("store.restored").inc());
 		this.metrics.registry().gauge("store.era", () -> registry::era);
 		this.loadSampler = new VmLoadSampler(this.loop, this.clock, this.gateway::inProgress,
-				this.registration::setCrowded);
+				this.registration::setOverloaded);
 		this.gateway.entryVms().registerSelf(self);
 		this.ingress = new CallerIngress(s.callers(), this.loop, this.gateway);
 	}
--- a/src/main/java/io/shallotspur/registry/VmRegistration.java
+++ b/src/main/java/io/shallotspur/registry/VmRegistration.java
@@ -101,7 +101,7 @@
 	 * the next change is written again.
 	 * @param overloaded whether it is
 	 */
-	public void setCrowded(boolean overloaded) {
+	public void setOverloaded(boolean overloaded) {
 		this.vm = this.vm.withOverloaded(overloaded);
 		long l = activeLease();
 		if (l == 0) {
--- a/src/test/java/io/shallotspur/cell/CellFailureTests.java
+++ b/src/test/java/io/shallotspur/cell/CellFailureTests.java
@@ -19,7 +19,7 @@
 	 * Time in which a suspect generates the tokens that clear it, less one step, in
 	 * milliseconds.
 	 */
-	private static final long CLEARING_MS = (CellSettings.defaults().suspectClearTokens() - 1) * 40L;
+	private static final long ISOLATION_MS = (CellSettings.defaults().isolationTokens() - 1) * 40L;
 
 	private static CellSimulation cell(int prefill, int decode) {
 		return CellSimulation.of(CellSettings.defaults(), prefill, decode, 20);
@@ -223,7 +223,7 @@
 			Set<Long> attemptsOnNewWorker = sim.attemptsOn("d4");
 			attemptsOnNewWorker.forEach((a) -> decodingSince.putIfAbsent(a, sim.now));
 			long uncleared = attemptsOnNewWorker.stream()
-				.filter((a) -> sim.now - decodingSince.get(a) < CLEARING_MS)
+				.filter((a) -> sim.now - decodingSince.get(a) < ISOLATION_MS)
 				.count();
 			maxUncleared = Math.max(maxUncleared, (int) uncleared);
 		}
@@ -238,7 +238,7 @@
 		// would crash another worker.
 		CellSimulation sim = cell(2, 8);
 		sim.crashingRequests.add("bad");
-		sim.crashAfterTokens = CellSettings.defaults().suspectClearTokens() + 10;
+		sim.crashAfterTokens = CellSettings.defaults().isolationTokens() + 10;
 		for (int i = 0; i < 6 && !sim.refusals.containsKey("bad"); i++) {
 			int before = sim.crashedWorkers.size();
 			sim.submit(sim.request("bad", "a", 0, 5400), 100);
--- a/src/test/java/io/shallotspur/gateway/RateLimitedFleet.java
+++ b/src/test/java/io/shallotspur/gateway/RateLimitedFleet.java
@@ -135,7 +135,7 @@
 	 * @param crowded whether it reports that requests wait for it
 	 * @param receivers the VMs that receive the change
 	 */
-	void setCrowded(int vm, boolean crowded, IntPredicate receivers) {
+	void setOverloaded(int vm, boolean crowded, IntPredicate receivers) {
 		EntryVm e = this.entries.get(vm).withOverloaded(crowded);
 		this.entries.set(vm, e);
 		IntStream.range(0, this.vms.size())
--- a/src/test/java/io/shallotspur/gateway/WorkerRateLimitTests.java
+++ b/src/test/java/io/shallotspur/gateway/WorkerRateLimitTests.java
@@ -43,9 +43,9 @@
 				f.setLimit("p" + (1 + r.nextInt(3)), limit(12 * r.nextDouble() * r.nextDouble()));
 				int vm = r.nextInt(f.size());
 				boolean crowded = r.nextBoolean();
-				f.setCrowded(vm, crowded, (v) -> v % 2 == 0);
+				f.setOverloaded(vm, crowded, (v) -> v % 2 == 0);
 				f.run(SECOND_MS, perSecond, strayShare);
-				f.setCrowded(vm, crowded, (v) -> true);
+				f.setOverloaded(vm, crowded, (v) -> true);
 				f.run(4_000 + r.nextInt(4_000), perSecond, strayShare);
 			}
 			Assertions.assertThat(f.violations()).as("seed %d", seed).isEmpty();
@@ -59,7 +59,7 @@
 	void idleVmsDoNotSendAccumulatedTokensTogether() {
 		RateLimitedFleet f = new RateLimitedFleet(40, 1, 5);
 		for (int vm = 0; vm < 40; vm++) {
-			f.setCrowded(vm, true, (v) -> true);
+			f.setOverloaded(vm, true, (v) -> true);
 		}
 		f.setLimit("p1", limit(1));
 		f.run(10_000, 200, 0);
@@ -86,7 +86,7 @@
 	private static double utilization(int serving, double perSecond, double firstVmShare) {
 		RateLimitedFleet f = new RateLimitedFleet(8, 1, 6);
 		for (int vm = 0; vm < 8; vm++) {
-			f.setCrowded(vm, serving > 2, (v) -> true);
+			f.setOverloaded(vm, serving > 2, (v) -> true);
 		}
 		f.preferFirst(firstVmShare);
 		f.setLimit("p1", limit(perSecond));
