--- a/src/main/java/io/shallotspur/gateway/Attempt.java
+++ b/src/main/java/io/shallotspur/gateway/Attempt.java
@@ -6,8 +6,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One attempt to run a request at one worker. Validates the response and forwards only
- * the parts that can be trusted. Not thread-safe; confined to the gateway's thread.
+ * One attempt to run a request at one worker. Forwards nothing of a response that belongs
+ * to another request or of an unsigned success, and the events of a stream only when
+ * complete. Other bodies are forwarded as they arrive once they exceed the buffer, and
+ * from the start if the attempt is resumed, also those of unsigned failures. Not
+ * thread-safe; confined to the gateway's thread.
  * <p>
  * Invariant: exactly one of {@link Listener#onSuccess} and {@link Listener#onFailure} is
  * called, once, unless the attempt is cancelled.
--- a/src/main/java/io/shallotspur/gateway/Candidates.java
+++ b/src/main/java/io/shallotspur/gateway/Candidates.java
@@ -30,7 +30,9 @@
 	}
 
 	/**
-	 * Returns the known workers, whether or not their limits are reached.
+	 * Returns the workers that may be used, whether or not their rate limits and
+	 * connection shares are exhausted. Draining workers and those with an announced stage
+	 * change are left out; unreachable and ejected ones are left out unless all are.
 	 * @param stage the required stage
 	 * @param excluded ids of workers to leave out
 	 * @param now the present time in milliseconds
--- a/src/main/java/io/shallotspur/gateway/EngineTimeEstimator.java
+++ b/src/main/java/io/shallotspur/gateway/EngineTimeEstimator.java
@@ -13,9 +13,9 @@
  * thread-safe; confined to the gateway's thread.
  * <p>
  * Invariant: no defaults are assumed. A time that has not been observed is 0, which
- * causes no refusals. With a default time per token, a VM that had just started
- * classified long responses of fast engines as unable to complete in time and refused
- * them although workers were idle.
+ * causes no refusals. With a default time per token, a VM that has just started would
+ * classify long responses of fast engines as unable to complete in time and refuse them
+ * although workers are idle.
  */
 public final class EngineTimeEstimator {
 
--- a/src/main/java/io/shallotspur/gateway/EntryVmDirectory.java
+++ b/src/main/java/io/shallotspur/gateway/EntryVmDirectory.java
@@ -16,8 +16,8 @@
  */
 public final class EntryVmDirectory {
 
-	// A region with fewer VMs directs its callers to other regions too: the loss of a
-	// single VM would cut off all of them.
+	// Callers of a region with fewer VMs are directed to VMs of all regions: otherwise
+	// the loss of a single VM could cut off all callers of the region.
 	private static final int MIN_VMS_PER_REGION = 2;
 
 	private final Map<String, Registration> byKey = new LinkedHashMap<>();
--- a/src/main/java/io/shallotspur/gateway/Gateway.java
+++ b/src/main/java/io/shallotspur/gateway/Gateway.java
@@ -143,9 +143,10 @@
 	}
 
 	/**
-	 * Starts draining this VM. Callers that still have its address would find nothing
-	 * listening, and some have only one try left, so it keeps responding until it shuts
-	 * down: requests that cannot finish in time are refused as not run.
+	 * Starts draining this VM. If it stopped listening at once, callers that still have
+	 * its address would find nothing listening, and some have only one try left. It
+	 * therefore keeps responding until it shuts down: requests that cannot finish in time
+	 * are refused as not run.
 	 * @param refuseFrom from when on such requests are refused, on the gateway's clock
 	 * @param shutdownAt when the last response must be complete, on the same clock
 	 */
--- a/src/main/java/io/shallotspur/gateway/OverloadDetector.java
+++ b/src/main/java/io/shallotspur/gateway/OverloadDetector.java
@@ -17,8 +17,9 @@
 	// it, ms.
 	private static final double OVERLOAD_DELAY_MS = 20;
 
-	// Below this delay the VM may recover, ms. Doubling the number of VMs halves the
-	// load of each, and queueing delay drops by more than half.
+	// Up to this mean delay the VM may recover, ms. It is far below half of the overload
+	// delay: when callers move to twice as many VMs, the delay drops by more than half,
+	// and that drop alone must not count as recovery.
 	private static final double RECOVERY_DELAY_MS = 4;
 
 	// Averages over about two seconds, so that class loading or a single long garbage
--- a/src/main/java/io/shallotspur/gateway/PrefillSelector.java
+++ b/src/main/java/io/shallotspur/gateway/PrefillSelector.java
@@ -49,8 +49,9 @@
 		if (prefillWorkers.isEmpty() || prompt.promptTokens() < MIN_PROMPT_TOKENS) {
 			return Optional.empty();
 		}
-		// Only the worker knows whether it is generating responses: this VM may have
-		// started a moment ago.
+		// Only the decode worker knows whether it is generating responses: this VM may
+		// have started a moment ago. It is therefore assumed that responses run there and
+		// slow the prefill down.
 		double decodeCost = wouldStall ? Double.MAX_VALUE
 				: EngineStatistics.DECODE_PREFILL_SLOWDOWN * (decodeWorker.activePrefills() + 1);
 		WorkerState best = null;
--- a/src/main/java/io/shallotspur/gateway/RateLimitEnforcer.java
+++ b/src/main/java/io/shallotspur/gateway/RateLimitEnforcer.java
@@ -1,7 +1,7 @@
 package io.shallotspur.gateway;
 
 /**
- * Applies the rate limits that workers report to the requests of this VM. Not
+ * Applies to the requests of this VM the rate limits that workers report. Not
  * thread-safe; the present time is an argument.
  */
 final class RateLimitEnforcer {
--- a/src/main/java/io/shallotspur/gateway/RecentRefusals.java
+++ b/src/main/java/io/shallotspur/gateway/RecentRefusals.java
@@ -34,8 +34,8 @@
 	 * @param now the present time in milliseconds
 	 */
 	void recordRefusal(String workerId, int tokens, long blockedUntil, long lateBlockedUntil, long now) {
-		// Removes expired refusals. A worker gets a new id when it restarts, so the entry
-		// of one that has left would never be replaced.
+		// Removes expired refusals. The entry of a worker that has left, or has restarted
+		// under a new id, would never be replaced.
 		this.byWorker.values().removeIf((r) -> now >= r.lateBlockedUntil());
 		Refusal previous = this.byWorker.get(workerId);
 		int minTokens = (previous != null && now < previous.blockedUntil()) ? Math.min(tokens, previous.tokens())
--- a/src/main/java/io/shallotspur/gateway/RefusalReason.java
+++ b/src/main/java/io/shallotspur/gateway/RefusalReason.java
@@ -28,10 +28,16 @@
 	/** No worker of the upstream is available. */
 	NO_WORKER,
 
-	/** Every worker that was tried refused the request. */
+	/**
+	 * A worker refused the request and no further attempt was possible, no worker had
+	 * capacity for it in time, or the queue for a reservation was full.
+	 */
 	WORKERS_FULL,
 
-	/** All workers have reduced their rate limits, and these are exhausted. */
+	/**
+	 * The worker whose rate limit was expected to admit the request soonest admits it
+	 * only when it is too late.
+	 */
 	WORKERS_LIMITED,
 
 	/** The connection to the worker broke while the request may have been running. */
--- a/src/main/java/io/shallotspur/gateway/RelayMetrics.java
+++ b/src/main/java/io/shallotspur/gateway/RelayMetrics.java
@@ -13,8 +13,9 @@
  */
 public final class RelayMetrics {
 
-	// Customers with their own time series; all others share one. Scraping tens of
-	// thousands of series would cost the VM more time than its requests.
+	// The first customers seen, up to this number, get their own time series; later ones
+	// are counted together. Scraping tens of thousands of series would cost the VM more
+	// time than its requests.
 	private static final int MAX_CUSTOMER_SERIES = 64;
 
 	private static final String OTHERS = "others";
--- a/src/main/java/io/shallotspur/gateway/RelayTask.java
+++ b/src/main/java/io/shallotspur/gateway/RelayTask.java
@@ -271,7 +271,8 @@
 		};
 	}
 
-	// Timestamps relative to the arrival, and the longest pause between two events, ms.
+	// The memory that the request needs, in tokens; timestamps relative to the arrival
+	// and the longest pause between two events, ms.
 	private String timingFields() {
 		long reservedAt = Math.max(this.arrivedAt, this.placing.reservedAt());
 		return " tokens=" + this.placing.requiredTokens() + " held-ms=" + (reservedAt - this.arrivedAt) + " sent-ms="
--- a/src/main/java/io/shallotspur/gateway/RequestPlacement.java
+++ b/src/main/java/io/shallotspur/gateway/RequestPlacement.java
@@ -192,8 +192,9 @@
 	}
 
 	/**
-	 * Returns when the latest reservation was acquired.
-	 * @return the time in milliseconds, or 0 if there was none
+	 * Returns when the latest reservation was acquired or the latest wait for a rate
+	 * limit ended, whichever is later.
+	 * @return the time in milliseconds, or 0 if there was neither
 	 */
 	long reservedAt() {
 		return this.reservedAt;
--- a/src/main/java/io/shallotspur/gateway/ResponseHead.java
+++ b/src/main/java/io/shallotspur/gateway/ResponseHead.java
@@ -10,8 +10,8 @@
  * @param authenticity whether the response is known to be the worker's response to this
  * request
  * @param notRun whether the worker states that it has not run the request and never will
- * @param instanceReplaced whether another incarnation of the worker has the address, so
- * that the addressed one is gone
+ * @param instanceReplaced whether the response comes from another instance at the
+ * worker's address; a worker that has changed its stage responds in the same way
  * @param workerStatus load and limit that the worker reported with the response
  */
 public record ResponseHead(int status, List<HeaderField> headers, ResponseAuthenticity authenticity, boolean notRun,
--- a/src/main/java/io/shallotspur/gateway/ServingVmSelector.java
+++ b/src/main/java/io/shallotspur/gateway/ServingVmSelector.java
@@ -21,8 +21,8 @@
  */
 final class ServingVmSelector {
 
-	// Number of VMs that are not overloaded: if one is lost, callers already know
-	// another.
+	// Minimum number of VMs that are not overloaded in each selection, if there are as
+	// many: if one is lost, callers already know another.
 	private static final int MIN_VMS_WITH_CAPACITY = 2;
 
 	// Largest first, then by hash of the key, so that VMs with adjacent addresses, which
--- a/src/main/java/io/shallotspur/gateway/SuspendAwareClock.java
+++ b/src/main/java/io/shallotspur/gateway/SuspendAwareClock.java
@@ -5,10 +5,10 @@
  * thread-safe; the readings of both underlying clocks are arguments.
  * <p>
  * The monotonic clock stops while the machine is suspended; the time of day continues,
- * but may be set. Any gain of the time of day over the monotonic clock is treated as a
- * suspension. A time of day that is set forward looks the same, and only makes cached
- * data appear older than it is; one that is set back is ignored, and must not hide a
- * suspension before or after it.
+ * but may be set. A gain of the time of day over the monotonic clock is treated as a
+ * suspension if it exceeds {@link #SUSPENSION_THRESHOLD_MS}. A time of day that is set
+ * forward looks the same, and only makes cached data appear older than it is; one that is
+ * set back is ignored, and must not hide a suspension before or after it.
  * <p>
  * Invariant: the time never decreases, provided that the monotonic clock does not.
  */
--- a/src/main/java/io/shallotspur/gateway/WorkerCall.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerCall.java
@@ -6,7 +6,7 @@
  * One attempt to run a request at one worker. Immutable.
  *
  * @param request the caller's request
- * @param worker the worker; another incarnation at its address must not run the request
+ * @param worker the worker; another instance at its address must not run the request
  * @param timeoutMs the time left for the worker, in milliseconds
  * @param priority the priority at the worker; 0 is the highest
  * @param lastEventId the event after which the response resumes, or {@code null}
--- a/src/main/java/io/shallotspur/gateway/WorkerDirectory.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerDirectory.java
@@ -14,7 +14,8 @@
  * The workers of all upstreams that are known to this VM. Not thread-safe; confined to
  * the gateway's thread.
  * <p>
- * Invariant: a worker that is draining or removed is never a candidate.
+ * Invariant: a worker that is draining or no longer used is never a candidate. A worker
+ * whose entry is gone is still used until its grace period ends.
  */
 public final class WorkerDirectory {
 
@@ -166,8 +167,8 @@
 	}
 
 	/**
-	 * Applies a full listing of the registry: workers that it lacks are treated as
-	 * removed.
+	 * Applies a full listing of the registry: workers that it lacks are treated as if
+	 * their entries had been removed one by one.
 	 * @param ids the ids of all entries
 	 * @param graceEnd as in {@link #entryRemoved}
 	 */
@@ -180,7 +181,8 @@
 	}
 
 	/**
-	 * Returns the number of known workers that have not been removed.
+	 * Returns the number of workers that are still used or draining. Workers whose
+	 * entries are gone count until their grace periods end.
 	 * @param now the present time in milliseconds
 	 * @return the number of workers
 	 */
--- a/src/main/java/io/shallotspur/gateway/WorkerState.java
+++ b/src/main/java/io/shallotspur/gateway/WorkerState.java
@@ -29,8 +29,9 @@
 	// Weight of the newest outcome in the failure rate: about the last ten count.
 	private static final double FAILURE_WEIGHT = 0.1;
 
-	// A worker that accepted no connection is skipped for this time, ms: most crashed
-	// workers have restarted or left the registry within a few seconds.
+	// A worker to which a request could not be sent, or at which a reservation call or a
+	// prefill failed, is skipped for this time, ms: most crashed workers have restarted
+	// or left the registry within a few seconds.
 	private static final long UNREACHABLE_BACKOFF_MS = 1_000;
 
 	private WorkerInfo info;
--- a/src/test/java/io/shallotspur/gateway/CustomerKeyTests.java
+++ b/src/test/java/io/shallotspur/gateway/CustomerKeyTests.java
@@ -93,8 +93,9 @@
 		Assertions.assertThat(this.f.workers.lastRun().call.customer()).isEqualTo("bolt");
 	}
 
-	// The VM is disconnected from the store while a stolen key is revoked. The key would
-	// stay usable at this VM for as long as the disconnection lasts.
+	// The VM is disconnected from the store while a stolen key is revoked. If the VM kept
+	// accepting it, the key would stay usable there for as long as the
+	// disconnection lasts.
 	@Test
 	void refusesAKeyWhenTheConfigurationIsTooOld() {
 		this.f.timer.advance(REVOCATION_BOUND_MS);
--- a/src/test/java/io/shallotspur/gateway/OverloadDetectorTests.java
+++ b/src/test/java/io/shallotspur/gateway/OverloadDetectorTests.java
@@ -19,8 +19,7 @@
 		}
 	}
 
-	// The detector exceeds the processor's capacity: each step of each request runs
-	// recordDelays.
+	// The load exceeds the processor's capacity: each step of each request runs late.
 	@Test
 	void isOverloadedWhileTasksRunLate() {
 		recordDelays(12, 40);
--- a/src/test/java/io/shallotspur/gateway/PrefillTests.java
+++ b/src/test/java/io/shallotspur/gateway/PrefillTests.java
@@ -205,9 +205,9 @@
 		sendPrompt("resume", LONG_PROMPT);
 	}
 
-	// Prefill workers of two other halls are idle. For one in the hall of the decode
-	// worker, the KV cache transfer takes half as long and there is less traffic between
-	// halls.
+	// Two prefill workers outside this VM's hall are idle, one of them in the hall of the
+	// decode worker. From there the KV cache transfer takes half as long, and there is
+	// less traffic between halls.
 	@Test
 	void prefersPrefillWorkerInHallOfDecodeWorker() {
 		WorkerState nearWorker = worker("f1", "hall-b");
--- a/src/test/java/io/shallotspur/gateway/QuotaTests.java
+++ b/src/test/java/io/shallotspur/gateway/QuotaTests.java
@@ -122,8 +122,9 @@
 		Assertions.assertThat(spent).isLessThanOrEqualTo(5_000);
 	}
 
-	// Guards against long prompts that exhaust a quota and block plain requests, each of
-	// which costs a thirtieth of one.
+	// Guards against long prompts that exhaust a quota: all plain requests, each of which
+	// costs a thirtieth of a long prompt, would be refused for the sake of one more
+	// long prompt.
 	@Test
 	void plainRequestsPassWhileLongPromptsAreRefused() {
 		QuotaLimiter limiter = new QuotaLimiter(TOLERANCE, -100_000);
--- a/src/test/java/io/shallotspur/gateway/RateLimitedFleet.java
+++ b/src/test/java/io/shallotspur/gateway/RateLimitedFleet.java
@@ -130,13 +130,14 @@
 	}
 
 	/**
-	 * Marks a VM as crowded, which changes the set that callers are told to use.
+	 * Sets or clears the report of a VM that it is overloaded, which may change the set
+	 * that callers are directed to.
 	 * @param vm the VM
-	 * @param crowded whether it reports that requests wait for it
+	 * @param overloaded whether it reports that requests wait for its processor
 	 * @param receivers the VMs that receive the change
 	 */
-	void setOverloaded(int vm, boolean crowded, IntPredicate receivers) {
-		EntryVm e = this.entries.get(vm).withOverloaded(crowded);
+	void setOverloaded(int vm, boolean overloaded, IntPredicate receivers) {
+		EntryVm e = this.entries.get(vm).withOverloaded(overloaded);
 		this.entries.set(vm, e);
 		IntStream.range(0, this.vms.size())
 			.filter(receivers)
--- a/src/test/java/io/shallotspur/gateway/RelayTests.java
+++ b/src/test/java/io/shallotspur/gateway/RelayTests.java
@@ -122,7 +122,7 @@
 	}
 
 	// The connection closes with its response, and the close is reported while the
-	// response is being written. It was counted as a caller disconnect and ended the
+	// response is being written. Counted as a caller disconnect, it would end the
 	// request twice.
 	@Test
 	void closingAfterTheResponseIsNotACallerDisconnect() {
@@ -184,10 +184,10 @@
 		Assertions.assertThat(this.f.gateway.routeTable().orElseThrow().version()).isEqualTo(5);
 	}
 
-	// A worker crashed and another incarnation responds at its address, while the
-	// registry still has the old entry for seconds. Each request sent there is rejected
-	// as not run, and a route with one attempt refuses its callers although other
-	// workers are free.
+	// A worker crashed and another instance responds at its address, while the registry
+	// still has the old entry for seconds. Each request sent there is rejected as not
+	// run, and a route with one attempt refuses its callers although other workers
+	// are free.
 	@Test
 	void sendsNothingToAReplacedWorker() {
 		this.f.call("unsafe");
--- a/src/test/java/io/shallotspur/gateway/ReservationQueueTests.java
+++ b/src/test/java/io/shallotspur/gateway/ReservationQueueTests.java
@@ -72,7 +72,7 @@
 
 	// A burst on a large fleet: every VM has a pending request, and all workers are full.
 	// If each VM kept calling all workers, tens of thousands of refusals a second would
-	// use up the CPU time of both.
+	// use up the CPU time of VMs and workers.
 	@Test
 	void boundsRequestRateWhenAllWorkersAreFull() {
 		for (int i = 0; i < 40; i++) {
@@ -109,7 +109,8 @@
 		Assertions.assertThat(this.fixture.gateway.engineTimes("llm").timeToFirstEventMs()).isBetween(270L, 320L);
 	}
 
-	// A slot that becomes free is still requested at once.
+	// A slot that becomes free is requested at once, even while all workers are
+	// considered full.
 	@Test
 	void retriesImmediatelyWhereOwnRequestEnded() {
 		for (int i = 0; i < 12; i++) {
@@ -198,8 +199,8 @@
 		Assertions.assertThat(tokensOfFirstCallAfterRefusals(100)).isLessThan(3_500 + 500);
 	}
 
-	// One request has been refused for a while when another arrives, with twice its
-	// prompt.
+	// One request has waited for a while, with its reservation calls refused, when
+	// another arrives with twice its prompt.
 	private int tokensOfFirstCallAfterRefusals(long ms) {
 		this.fixture.addWorker("d1", "llm", WorkerStage.DECODE);
 		this.fixture.callWithPrompt("once", 3_000);
--- a/src/test/java/io/shallotspur/gateway/StreamRelayTests.java
+++ b/src/test/java/io/shallotspur/gateway/StreamRelayTests.java
@@ -116,8 +116,8 @@
 		Assertions.assertThat(c.caller().completed).isTrue();
 	}
 
-	// The caller disconnects during the prefill. The reservation at the decode worker
-	// and the KV cache that is completed later would stay allocated.
+	// The caller disconnects during the prefill. The reservation at the decode worker and
+	// the KV cache that is completed later would stay allocated unless they are released.
 	@Test
 	void releasesResourcesWhenTheCallerDisconnects() {
 		this.f.addWorker("f1", "llm", WorkerStage.PREFILL);
--- a/src/test/java/io/shallotspur/gateway/WorkerDirectoryTests.java
+++ b/src/test/java/io/shallotspur/gateway/WorkerDirectoryTests.java
@@ -52,8 +52,9 @@
 		Assertions.assertThat(candidates(WorkerStage.PREFILL)).hasSize(1);
 	}
 
-	// Otherwise the VM that assigns the stages would see one prefill worker too many
-	// until the change is in force, and would change another one.
+	// If the worker were still reported under its old stage, the VM that assigns the
+	// stages would see one prefill worker too many until the change is in force, and
+	// would change another one.
 	@Test
 	void reportsWorkerUnderAnnouncedStage() {
 		this.directory.updateEntry(worker(WorkerStage.PREFILL), NOW);
@@ -61,9 +62,10 @@
 		Assertions.assertThat(this.directory.activeWorkers("llm", NOW)).containsExactly(worker(WorkerStage.DECODE));
 	}
 
-	// A prefill was in transit while the worker changed its stage, and the worker
-	// responds that it is not the addressed one. Taken for another instance, it would be
-	// excluded until its entry changes, which can take the rest of its lifetime.
+	// A prefill was in transit while the worker changed its stage, and the worker rejects
+	// it like a call that is addressed to another instance. If this counted as a
+	// replacement, the worker would be excluded until its entry changes, which can take
+	// the rest of its lifetime.
 	@Test
 	void keepsWorkerThatChangedStage() {
 		this.directory.updateEntry(worker(WorkerStage.DECODE), NOW);
