--- a/src/main/java/io/shallotspur/platform/HttpStagePort.java
+++ b/src/main/java/io/shallotspur/platform/HttpStagePort.java
@@ -102,7 +102,7 @@
 	}
 
 	private static EngineLostException workerLost(WorkerInfo worker, Throwable ex) {
-		return new EngineLostException("The worker did not respond: " + ex, worker.id(), ex);
+		return new EngineLostException("The worker gave no valid response: " + ex, worker.id(), ex);
 	}
 
 }
--- a/src/main/java/io/shallotspur/platform/PlatformCommand.java
+++ b/src/main/java/io/shallotspur/platform/PlatformCommand.java
@@ -22,7 +22,8 @@
 	private static final String SETTINGS_VARIABLE = "SHALLOTSPUR_BOOT";
 
 	@Option(name = "--settings", metaVar = "FILE",
-			usage = "settings file (TOML); by default the file named by SHALLOTSPUR_BOOT")
+			usage = "settings file (TOML); by default the file named by SHALLOTSPUR_BOOT,"
+					+ " or settings.toml if the variable is not set")
 	private Path settings = Path.of(System.getenv().getOrDefault(SETTINGS_VARIABLE, "settings.toml"));
 
 	@Option(name = "--rehearse", usage = "run a training start on loopback and exit, to create a class data archive")
--- a/src/main/java/io/shallotspur/platform/PlatformNames.java
+++ b/src/main/java/io/shallotspur/platform/PlatformNames.java
@@ -35,7 +35,8 @@
 
 	/**
 	 * Requests per second that the worker accepts from all VMs together. The limit holds
-	 * until a successful response comes without it.
+	 * until a signed successful response, or a prefill response with a KV handle, comes
+	 * without it and answers a request that was sent after the limit was last reported.
 	 */
 	static final String RATE_LIMIT = "Server-Limit";
 
--- a/src/main/java/io/shallotspur/platform/PlatformSettings.java
+++ b/src/main/java/io/shallotspur/platform/PlatformSettings.java
@@ -108,8 +108,8 @@
 	 * @param fenced whether workers reject orders with a lower fencing token than one
 	 * they have seen; if not, no orders are sent, because a VM that was paused could
 	 * revert the orders of its successor
-	 * @param handoverMs how long a VM waits before it sends orders after taking over that
-	 * role, in milliseconds
+	 * @param handoverMs minimum time between the orders of two leaders, in milliseconds;
+	 * a VM that takes over waits this long and 1.5 s more
 	 */
 	record OrderSettings(boolean fenced, long handoverMs) {
 
--- a/src/main/java/io/shallotspur/platform/StoreEntryCodec.java
+++ b/src/main/java/io/shallotspur/platform/StoreEntryCodec.java
@@ -41,7 +41,8 @@
 	 * @param era the era of the store when it sent the response: how often it had been
 	 * restored from a snapshot, by its own count
 	 * @return the change, {@link RegistryChange.EntryUnreadable} if the entry is
-	 * malformed, or empty if the key is not used by entry VMs
+	 * malformed, or empty if the key is not used by entry VMs or its removal has no
+	 * effect on them
 	 */
 	static Optional<RegistryChange> decode(JsonNode item, long era) {
 		String key = item.path("key").asText();
--- a/src/main/java/io/shallotspur/platform/StoreRegistry.java
+++ b/src/main/java/io/shallotspur/platform/StoreRegistry.java
@@ -53,8 +53,8 @@
 
 	private static final String ALL_KEYS = "";
 
-	// Entries without a lease outlive the VM that wrote them, so VMs can read them even
-	// after all were killed.
+	// Entries without a lease outlive the VM that wrote them, so VMs that start after all
+	// others were killed can read them.
 	private static final long NO_LEASE = 0;
 
 	private final StoreClient client;
--- a/src/main/java/io/shallotspur/registry/ChangeApplier.java
+++ b/src/main/java/io/shallotspur/registry/ChangeApplier.java
@@ -221,7 +221,8 @@
 	}
 
 	// An unreadable entry replaces the worker's former entry, so the worker is removed.
-	// Each listing returns the entry again; an error is logged once per key.
+	// Each listing returns the entry again; it is logged only if the cause differs from
+	// the one last logged for its key.
 	private void handleUnreadable(RegistryChange.EntryUnreadable e, StorePosition position, long now) {
 		if (e.worker() != null) {
 			this.gateway.roster().entryRemoved(e.worker(), now);
@@ -259,7 +260,7 @@
 	 * in milliseconds; in the past if there is none
 	 * @param vmEndsAt the same for an entry VM
 	 * @param updateAgeMs maximum age of the changes, in milliseconds
-	 * @param sinceFailureMs time since the last failed store call, in milliseconds
+	 * @param sinceFailureMs milliseconds since the store was last known to be unavailable
 	 */
 	record GracePeriods(long workerEndsAt, long vmEndsAt, long updateAgeMs, long sinceFailureMs) {
 
--- a/src/main/java/io/shallotspur/registry/Leadership.java
+++ b/src/main/java/io/shallotspur/registry/Leadership.java
@@ -30,9 +30,9 @@
 	// rewritten immediately cause no claim.
 	private static final long VACANCY_DELAY_MS = 1_000;
 
-	// Maximum delay of a claim, ms. VMs ranked after it all claim at the same time. So
-	// many VMs as are ranked before it are not cut off from the store together unless
-	// the others are too.
+	// Maximum delay of a claim, ms. All VMs whose rank would give a longer delay claim at
+	// this time. The VMs of ranks 0 to 17 claim earlier; they are not all cut off from
+	// the store at once unless the others are too.
 	private static final long MAX_CLAIM_DELAY_MS = 8_000;
 
 	// Orders that the former leader confirmed and sent arrive within this time, ms: it
@@ -94,8 +94,9 @@
 	}
 
 	/**
-	 * Handles a restore of the store from an older snapshot. The leader that the snapshot
-	 * names may not know that it leads, or no longer believe so.
+	 * Handles a restore of the store from an older snapshot. The VM that the snapshot
+	 * names as the leader may not know of its election, or may know that its leadership
+	 * has ended.
 	 * @param now the current time in milliseconds
 	 */
 	void onStoreRestored(long now) {
@@ -152,9 +153,9 @@
 	}
 
 	/**
-	 * Reads from the store whether this VM is still the leader. A VM that was paused or
-	 * disconnected for longer than its lease believes so although another VM has taken
-	 * over.
+	 * Reads from the store whether this VM is still the leader. If it was paused or
+	 * disconnected for longer than its lease, another VM may have taken over without this
+	 * VM knowing.
 	 * @return whether it is
 	 */
 	public Mono<Boolean> confirm() {
--- a/src/main/java/io/shallotspur/registry/RegistryWatcher.java
+++ b/src/main/java/io/shallotspur/registry/RegistryWatcher.java
@@ -56,8 +56,9 @@
 	// this time, ms.
 	private static final long UNSETTLED_MS = StoreOutageTracker.REWRITE_MS + 500;
 
-	// After a restore, listings and registrations are spread over this time for each VM,
-	// ms, so that hundreds of VMs do not call a store that has just come back at once.
+	// After a restore, listings and registrations are spread over this many ms times the
+	// number of VMs. Otherwise hundreds of VMs would call the store at the same moment
+	// when it has just come back.
 	private static final double SPREAD_MS_PER_VM = 2;
 
 	private final Registry registry;
@@ -247,8 +248,8 @@
 	}
 
 	// A restored store shows outdated data until the other writers have written again.
-	// The registry is listed now and again at the end of that period, because entries
-	// that nobody rewrites cause no change event.
+	// The registry is listed soon after the restore is noticed and once more at the end
+	// of that period, because entries that nobody rewrites cause no change event.
 	private void onStoreRestored(long era) {
 		long now = this.clock.getAsLong();
 		Logger.warn("[registry] store restored era={} known={}", era, this.position);
--- a/src/main/java/io/shallotspur/registry/SharedEngineStats.java
+++ b/src/main/java/io/shallotspur/registry/SharedEngineStats.java
@@ -49,7 +49,8 @@
 	private static final int NEW_SAMPLES_DIVISOR = 4;
 
 	// Once many samples are known, only statistics that differ by more than this are
-	// published. The mean that results from adding them is wrong by half as much.
+	// published. The mean of the new samples alone, at least 16 by then, has a random
+	// error of half as much if single requests vary by half of the mean.
 	private static final double MIN_DIFFERENCE = 0.25;
 
 	private final Registry registry;
--- a/src/main/java/io/shallotspur/registry/StoreOutageTracker.java
+++ b/src/main/java/io/shallotspur/registry/StoreOutageTracker.java
@@ -22,8 +22,8 @@
 	 */
 	static final long REWRITE_MS = 2_000;
 
-	// Poll interval of an unavailable store, ms; its recovery can go unnoticed for this
-	// long.
+	// Approximate interval at which a serving VM polls an unavailable store, ms; the
+	// store's recovery can go unnoticed for about this long.
 	private static final long UNNOTICED_RECOVERY_MS = 700;
 
 	// A watch that is lost with a silent store or connection looks like one without
--- a/src/main/java/io/shallotspur/registry/VmRegistration.java
+++ b/src/main/java/io/shallotspur/registry/VmRegistration.java
@@ -97,8 +97,8 @@
 
 	/**
 	 * Publishes whether this VM is overloaded. It is written immediately if the VM is
-	 * registered, else with the next registration. A write that is lost is not repeated;
-	 * the next change is written again.
+	 * registered, else with the next registration. A write that fails is not retried; the
+	 * store then keeps the earlier value until the next change or registration.
 	 * @param overloaded whether it is
 	 */
 	public void setOverloaded(boolean overloaded) {
--- a/src/main/java/io/shallotspur/stage/StageRebalancer.java
+++ b/src/main/java/io/shallotspur/stage/StageRebalancer.java
@@ -45,8 +45,8 @@
 	// short of workers once they are back.
 	private static final long STABLE_COUNT_MS = 5_000;
 
-	// Maximum fraction of the decode workers that leave the stage at once: prompts can
-	// wait or be prefilled elsewhere, responses cannot.
+	// Maximum fraction of the decode workers that leave the stage at once, but at least
+	// one may leave: prompts can wait or be prefilled elsewhere, responses cannot.
 	private static final double MAX_LEAVING_FRACTION = 0.125;
 
 	private final String vmName;
--- a/src/test/java/io/shallotspur/platform/CustomerConfigTests.java
+++ b/src/test/java/io/shallotspur/platform/CustomerConfigTests.java
@@ -46,8 +46,8 @@
 		Assertions.assertThat(t.findRoute("h", "/o/x").orElseThrow().allowsAnonymous()).isTrue();
 	}
 
-	// A missing or zero rate means no limit. If it were taken as a limit of zero, every
-	// request of the customer would be refused.
+	// A missing, zero or negative rate means no limit. If it were taken as a limit of
+	// zero, every request of the customer would be refused.
 	@Test
 	void missingRateAndPriorityUseDefaults() throws IOException, InputException {
 		RouteTable t = decodeTable(
--- a/src/test/java/io/shallotspur/platform/DeployTemplateTests.java
+++ b/src/test/java/io/shallotspur/platform/DeployTemplateTests.java
@@ -67,7 +67,8 @@
 		return PlatformSettings.read(f);
 	}
 
-	// Renders a section only if its field is set; {{.}} in it stands for the value.
+	// Renders a section only if its field is set and is not "false"; {{.}} in it stands
+	// for the value.
 	private static String render(String text, Map<String, String> fields) {
 		Matcher m = SECTION.matcher(text);
 		StringBuilder b = new StringBuilder();
--- a/src/test/java/io/shallotspur/platform/FakeStore.java
+++ b/src/test/java/io/shallotspur/platform/FakeStore.java
@@ -158,8 +158,9 @@
 		this.server.disposeNow();
 	}
 
-	// Lease calls have effect even while the store is unavailable, which the platform
-	// allows.
+	// While the store is unavailable, lease calls are answered with 503. A grant or a
+	// revocation still has effect, which the platform allows; a renewal has none, so the
+	// lease can run out.
 	private synchronized Publisher<Void> openLease(HttpServerRequest q, HttpServerResponse s) {
 		this.leases.put(++this.lease, System.nanoTime() + TTL.toNanos());
 		return send(s, 200, JSON.createObjectNode().put("lease", this.lease).put("ttl_ms", TTL.toMillis()));
--- a/src/test/java/io/shallotspur/platform/soak/InvariantChecker.java
+++ b/src/test/java/io/shallotspur/platform/soak/InvariantChecker.java
@@ -21,8 +21,9 @@
 	// In ms. A worker must not receive requests later than this after it starts draining.
 	private static final long DRAIN_DEADLINE_MS = 2_000;
 
-	// In ms. The drain deadline is checked only if no disturbance of the VMs or the store
-	// ended within this time before the drain started.
+	// In ms. The drain deadline is checked only while no disturbance of the VMs or the
+	// store is active, and only if the last one ended more than this time before the
+	// drain started.
 	private static final long RECOVERY_MS = 3_000;
 
 	private final AtomicInteger activeDisturbances = new AtomicInteger();
--- a/src/test/java/io/shallotspur/registry/LeadershipTests.java
+++ b/src/test/java/io/shallotspur/registry/LeadershipTests.java
@@ -97,8 +97,8 @@
 		Assertions.assertThat(this.registry.announcedStages).isEmpty();
 	}
 
-	// The VM's registration expired and was renewed: the leadership was lost with the old
-	// lease, and is gained again with a higher fencing token.
+	// The VM's lease expires and the VM registers again: the leadership is lost with the
+	// old lease, and is gained again with a higher fencing token.
 	@Test
 	void repeatsTheHandoverWithANewFencingToken() {
 		elect(SELF, 7);
--- a/src/test/java/io/shallotspur/registry/RegistryWatcherTests.java
+++ b/src/test/java/io/shallotspur/registry/RegistryWatcherTests.java
@@ -251,9 +251,9 @@
 		Assertions.assertThat(this.gateway.entryVms().count(this.timer.now())).isEqualTo(1);
 	}
 
-	// The store becomes silent and recovers. A watch with a long wait was lost: a route
-	// that the operator had added meanwhile was refused as unknown until the watch timed
-	// out.
+	// The store becomes silent and recovers. If a watch with a long wait were lost, a
+	// route that the operator adds meanwhile would be refused as unknown until the watch
+	// timed out.
 	@Test
 	void pollsWithoutAWaitUntilTheStoreIsBack() {
 		start(config(3));
--- a/src/test/java/io/shallotspur/registry/RevocationModelTests.java
+++ b/src/test/java/io/shallotspur/registry/RevocationModelTests.java
@@ -239,7 +239,7 @@
 			this.setBackMs += REVOCATION_MS;
 		}
 
-		// The store reads only after the VM has sent a request.
+		// The store reads only while a configuration read of the VM is unanswered.
 		private void read() {
 			if (this.registry.configurationReads > this.answeredReads) {
 				this.readTable = table();
