--- a/src/main/java/io/shallotspur/cell/CellDispatcher.java
+++ b/src/main/java/io/shallotspur/cell/CellDispatcher.java
@@ -23,8 +23,9 @@
 	private static final double AVOIDABLE_PREFILL_WEIGHT = 0.3;
 
 	/**
-	 * Fraction of the decode slots that a warm-up request, which misses its targets
-	 * anyway, must leave free.
+	 * Fraction of the declared decode slots that must be free when the KV cache of a
+	 * warm-up request has been transferred, so that the request may start. It misses its
+	 * targets anyway; its own slot is taken from this reserve.
 	 */
 	private static final double WARM_UP_SLOT_RESERVE = 0.15;
 
@@ -119,7 +120,8 @@
 	}
 
 	/**
-	 * Returns whether enough decode slots stay free if a warm-up request starts.
+	 * Returns whether enough decode slots are expected to be free when the KV cache of a
+	 * warm-up request has been transferred. The slot that the request takes is included.
 	 * @param warmUp the placement of the request
 	 * @param slots the forecast of free slots
 	 * @param now the current time in milliseconds
@@ -140,8 +142,8 @@
 	}
 
 	/**
-	 * Returns the deadline for the next first token of a request, assuming decode steps
-	 * of 40 ms.
+	 * Returns the deadline for the first token of the next attempt of a request, assuming
+	 * decode steps of 40 ms.
 	 * @param j the request
 	 * @return the time in milliseconds
 	 */
--- a/src/main/java/io/shallotspur/cell/CellFeature.java
+++ b/src/main/java/io/shallotspur/cell/CellFeature.java
@@ -48,8 +48,8 @@
 	WARM_UP,
 
 	/**
-	 * A transfer that makes no progress is cancelled and restarted to another decode
-	 * worker. Enabled by default.
+	 * A transfer that makes no progress is cancelled, and the KV cache is transferred to
+	 * another decode worker. Enabled by default.
 	 */
 	STALL_DETECTION,
 
--- a/src/main/java/io/shallotspur/cell/CellSettings.java
+++ b/src/main/java/io/shallotspur/cell/CellSettings.java
@@ -22,13 +22,13 @@
  * duration to count as stalled, default 60 ms
  * @param retryRatio retries allowed per first attempt, default 0.1
  * @param minRetries retries that a customer is always allowed in ten seconds, regardless
- * of its number of first attempts; default 24, the number of requests on one decode
- * worker
+ * of its number of first attempts; default 24, so that as many requests of one customer
+ * that are lost in the crash of a decode worker can all be retried
  * @param maxAttempts maximum number of attempts per request, default 4
  * @param slotConfidence number of standard deviations that the forecast of free slots
  * subtracts from the expected value, default 1
- * @param isolationTokens number of tokens after which a suspect of a single crash is
- * cleared if no further crash occurs, default 16
+ * @param isolationTokens number of tokens after which the isolation of a suspect of a
+ * single crash ends at the latest if no further crash occurs, default 16
  * @param takeoverSlots slots per decode worker that a new owner uses until the former
  * owner is known to have stopped, default 4
  */
--- a/src/main/java/io/shallotspur/cell/CrashIsolation.java
+++ b/src/main/java/io/shallotspur/cell/CrashIsolation.java
@@ -39,7 +39,8 @@
 	}
 
 	/**
-	 * Records the crash of a decode worker.
+	 * Records the crash of a decode worker. Only the requests that were decoding there
+	 * become suspects.
 	 * @param workerId the worker
 	 * @param jobsOnWorker the requests that had reserved a slot on it, were being
 	 * transferred to it or were decoding there
--- a/src/main/java/io/shallotspur/cell/JobLifecycle.java
+++ b/src/main/java/io/shallotspur/cell/JobLifecycle.java
@@ -239,12 +239,14 @@
 		return job.request.fingerprint();
 	}
 
-	// Clears a suspect that has run past the point of the crash: a request that crashes a
-	// worker does so again at the same point. If suspects were isolated until completion,
-	// twenty harmless requests of a crashed worker would run one after another and miss
-	// their deadlines. Clearing it also keeps it from being suspected of the next crash.
-	// A request that was on the worker at a second crash must run past the point that it
-	// had reached itself before it is cleared again.
+	// Ends the isolation of a suspect that has run past the point of its crash or, if it
+	// was at a single crash, has generated isolationTokens: a request that crashes a
+	// worker is expected to do so again at the same point. If suspects were isolated
+	// until completion, twenty harmless requests of a crashed worker would run one after
+	// another and miss their deadlines. The caller records the progress, so that the
+	// earlier crashes of the request weigh less at the next crash and do not hide the
+	// actual cause. After a second crash the request is isolated until it has run past
+	// the point that it had reached itself.
 	boolean endIsolationIfProven(Job job) {
 		DecodeWorker d = job.decodeWorker;
 		if (!job.suspect || d == null || job.attemptTokens < job.clearAfterTokens) {
--- a/src/main/java/io/shallotspur/cell/PlacementSelector.java
+++ b/src/main/java/io/shallotspur/cell/PlacementSelector.java
@@ -134,10 +134,10 @@
 
 	/**
 	 * Selects an idle worker for a request that would miss its targets on every worker.
-	 * If a shared prefix is not cached on any available worker, all requests with that
-	 * prefix are late. If all were refused, the prefix would never be cached, and its
-	 * requests would fail while prefill workers are idle. Therefore one of them runs late
-	 * and warms the cache for the others.
+	 * If a shared prefix is too long to be prefilled within the target, all requests with
+	 * that prefix are late while no available worker has it cached. If all were refused,
+	 * the prefix would never be cached, and its requests would fail while prefill workers
+	 * are idle. Therefore one of them runs late and warms the cache for the others.
 	 * @param job the request
 	 * @return the placement, or {@code null} if running the request late would warm no
 	 * cache
@@ -167,8 +167,8 @@
 
 	/**
 	 * Selects a decode worker on which to reserve a slot. A suspect may reserve a slot on
-	 * a worker that runs another suspect: by the time of the transfer, the other one has
-	 * been cleared or has crashed the worker.
+	 * a worker that runs another suspect: by the time of the transfer, the isolation of
+	 * the other one has usually ended or it has crashed the worker.
 	 * @param job the request
 	 * @return the worker, or {@code null} if none is eligible
 	 */
--- a/src/main/java/io/shallotspur/ledger/Attempt.java
+++ b/src/main/java/io/shallotspur/ledger/Attempt.java
@@ -6,7 +6,7 @@
  * under it, and only once. Immutable.
  *
  * @param node the peer address of the node
- * @param incarnation start counter of the node, incremented on each start
+ * @param incarnation number of the current run of the node, higher after each start
  * @param sequence unique within the incarnation
  */
 public record Attempt(String node, long incarnation, long sequence) {
--- a/src/main/java/io/shallotspur/ledger/AttemptFilter.java
+++ b/src/main/java/io/shallotspur/ledger/AttemptFilter.java
@@ -1,10 +1,10 @@
 package io.shallotspur.ledger;
 
 /**
- * Forwards the response chunks of the current attempt only, in order and without
- * duplicates. Late, out-of-order and duplicate chunks and those of other or earlier
- * attempts are dropped, so that stale output of one attempt is never interleaved with
- * that of another. Not thread-safe.
+ * Decides which response chunks are forwarded: those of the current attempt only, in
+ * order and without duplicates. Late, out-of-order and duplicate chunks and those of
+ * other or earlier attempts are rejected, so that stale output of one attempt is never
+ * interleaved with that of another. Not thread-safe.
  * <p>
  * Invariant: accepted chunks have consecutive indexes from 0 across all attempts, and
  * nothing is accepted after the end of the response.
--- a/src/main/java/io/shallotspur/ledger/BatchId.java
+++ b/src/main/java/io/shallotspur/ledger/BatchId.java
@@ -6,7 +6,7 @@
  * Immutable.
  *
  * @param node the peer address of the writer
- * @param incarnation start counter of the node, incremented on each start
+ * @param incarnation number of the current run of the node, higher after each start
  * @param number unique within the incarnation
  */
 public record BatchId(String node, long incarnation, long number) {
--- a/src/main/java/io/shallotspur/ledger/InMemoryLedger.java
+++ b/src/main/java/io/shallotspur/ledger/InMemoryLedger.java
@@ -14,10 +14,9 @@
 
 /**
  * In-memory ledger of a single process, for replays and tests. It uses the same state
- * machine as the distributed ledger, without a store. It does not read the clock;
- * {@link #advance} sets the current time. All answers are retained. Each returned Mono is
- * signalled on the calling thread, either immediately or during a later call. Not
- * thread-safe.
+ * machine as the distributed ledger, without a store. It neither reads a clock nor stores
+ * the current time: callers pass it. All answers are retained. Each returned Mono is
+ * signalled on the calling thread, immediately or during a later call. Not thread-safe.
  */
 public final class InMemoryLedger implements IntentLedger {
 
@@ -82,8 +81,7 @@
 	}
 
 	/**
-	 * Advances the time and refuses the callers that wait for a request in flight and
-	 * whose deadline has passed.
+	 * Refuses the callers that wait for a request in flight beyond their deadline.
 	 * @param now the current time in milliseconds
 	 */
 	public void advance(long now) {
--- a/src/main/java/io/shallotspur/ledger/IntentLedger.java
+++ b/src/main/java/io/shallotspur/ledger/IntentLedger.java
@@ -18,8 +18,8 @@
 	 * never signals an error: if the store is unavailable, it emits
 	 * {@link IntentDecision.Refused}.
 	 * @param key identifies the request
-	 * @param bodyHash hash of the request body, used to detect reuse of the key with
-	 * another body
+	 * @param bodyHash hash of the content of the request (for plain calls the method,
+	 * path, content type and body), used to detect reuse of the key for another request
 	 * @param now the current time in milliseconds
 	 * @param deadlineAt deadline of the caller in milliseconds
 	 * @return the decision
--- a/src/main/java/io/shallotspur/ledger/LedgerEntry.java
+++ b/src/main/java/io/shallotspur/ledger/LedgerEntry.java
@@ -4,7 +4,8 @@
  * Ledger entry of one idempotency key. Immutable.
  *
  * @param key the digest of the key
- * @param bodyHash hash of the request body
+ * @param bodyHash hash of the content of the request, used to detect reuse of the key for
+ * another request
  * @param keyTime the timestamp in the key in milliseconds, or {@link KeyTime#NONE}
  * @param attempt the attempt that holds the claim
  * @param state the state of the request
--- a/src/main/java/io/shallotspur/ledger/LedgerLimits.java
+++ b/src/main/java/io/shallotspur/ledger/LedgerLimits.java
@@ -25,8 +25,9 @@
 		int maxInlineBytes) {
 
 	/**
-	 * Default limits: 32 shards, each written at most every 100 ms, which bounds the load
-	 * to 320 writes per second at any request rate; the window is ten minutes.
+	 * Default limits: 32 shards, each written by a node at most every 100 ms, apart from
+	 * repeats after a conflict; the window is ten minutes. The number of writes does not
+	 * grow with the request rate, but with the number of nodes that write a shard.
 	 */
 	public static final LedgerLimits DEFAULT = new LedgerLimits(28, 4, 256, 512, 64 * 1024, 256 * 1024, 2_000, 100,
 			600_000, 60_000, 256);
--- a/src/main/java/io/shallotspur/outcome/RefusalCode.java
+++ b/src/main/java/io/shallotspur/outcome/RefusalCode.java
@@ -37,7 +37,8 @@
 	BODY_TOO_LARGE("body-too-large", 413),
 
 	/**
-	 * The request class is not repeatable, and the request has no Idempotency-Key.
+	 * The request class is not repeatable and the request has no Idempotency-Key, or the
+	 * key has no timestamp and there is no room for another such key.
 	 */
 	KEY_REQUIRED("key-required", 400),
 
@@ -62,7 +63,7 @@
 	DEADLINE_PASSED("deadline-passed", 504),
 
 	/**
-	 * The queue of the request class is full.
+	 * The queue of the cell or of the plain upstream, or the ledger shard, is full.
 	 */
 	QUEUE_FULL("queue-full", 503),
 
@@ -92,7 +93,8 @@
 	QUARANTINED("quarantined", 422),
 
 	/**
-	 * The worker that ran the request was lost, and the request cannot be retried.
+	 * The worker was lost or failed to run the request, and the router has no attempt or
+	 * time left to retry it; or an interrupted stream cannot be resumed.
 	 */
 	WORKER_LOST("worker-lost", 502),
 
--- a/src/main/java/io/shallotspur/route/IngressLimits.java
+++ b/src/main/java/io/shallotspur/route/IngressLimits.java
@@ -11,8 +11,8 @@
 public record IngressLimits(int maxHeaderBytes, int maxBodyBytes, long headerTimeoutMs, long idleTimeoutMs) {
 
 	/**
-	 * Limits that apply until a configuration is loaded. They match the usual defaults of
-	 * HTTP servers.
+	 * Limits that apply until a configuration is loaded, and for each limit that a
+	 * configuration leaves out. They are of the order of the defaults of HTTP servers.
 	 */
 	public static final IngressLimits DEFAULT = new IngressLimits(16_384, 4 << 20, 3_000, 15_000);
 
--- a/src/main/java/io/shallotspur/route/Route.java
+++ b/src/main/java/io/shallotspur/route/Route.java
@@ -10,7 +10,8 @@
  * @param pathPrefix the path prefix that it matches; starts and ends with a slash
  * @param kind whether requests may be executed again, and whether answers are streamed
  * @param targets the upstreams that serve it; at least one
- * @param timeoutMs maximum time that a request may wait, in milliseconds
+ * @param timeoutMs maximum time from the arrival of a request to the end of its response,
+ * in milliseconds; a shorter timeout of the caller takes precedence
  * @param latencyTargetMs latency objective in milliseconds; for streams, the time to the
  * first event
  * @param maxEventGapMs maximum time between two events of a stream that meets the
--- a/src/main/java/io/shallotspur/routing/CellLayout.java
+++ b/src/main/java/io/shallotspur/routing/CellLayout.java
@@ -93,8 +93,8 @@
 	}
 
 	/**
-	 * Returns the workers that are not in any cell because workers of the other role are
-	 * missing.
+	 * Returns the workers that are not in any cell because there are too few workers of
+	 * the other role.
 	 * @return the workers
 	 */
 	public List<Worker> unassignedWorkers() {
--- a/src/main/java/io/shallotspur/routing/DecodeWorker.java
+++ b/src/main/java/io/shallotspur/routing/DecodeWorker.java
@@ -139,8 +139,8 @@
 	/**
 	 * Returns the number of currently free slots. Reserved slots count as free.
 	 * @param tbtMs the tightest target for the time between tokens, in milliseconds
-	 * @return the number of slots; negative if the limit was lowered below the number of
-	 * held slots
+	 * @return the number of slots; negative if the held slots exceed the slot limit or,
+	 * together with the requests of another owner, the maximum number of requests
 	 */
 	public int freeSlots(double tbtMs) {
 		return Math.min(maxRequests(tbtMs) - this.otherOwnerRequests, this.slotLimit) - this.heldSlots;
--- a/src/main/java/io/shallotspur/routing/PrefixIndex.java
+++ b/src/main/java/io/shallotspur/routing/PrefixIndex.java
@@ -8,10 +8,10 @@
  * blocks. It is derived from the router's own prefills and corrected by cache events and
  * by the number of tokens that each prefill actually computed.
  * <p>
- * Blocks that occurred in only one prompt are kept separately and evicted first. They
- * make up most of the unshared part of a prompt, are rarely requested again, and would
- * otherwise displace the shared prefixes from the index although the engine still has
- * them cached. Within each group the least recently used block is evicted first.
+ * Blocks that occurred in only one prompt are kept separately and evicted first. They are
+ * rarely requested again and would otherwise displace the shared prefixes from the index
+ * although the engine still has them cached. Within each group the least recently used
+ * block is evicted first.
  * <p>
  * Invariant: the index never contains more blocks than the cache has capacity for, so its
  * memory is bounded by the declared cache size. Not thread-safe.
--- a/src/test/java/io/shallotspur/admission/ShareSplitterTests.java
+++ b/src/test/java/io/shallotspur/admission/ShareSplitterTests.java
@@ -39,8 +39,7 @@
 	@Test
 	void outdatedAndRepeatedDigestsAreIgnored() {
 		// Gossip may deliver a digest twice, or an old one after a newer one. If these
-		// were
-		// counted again, they would reduce the customer's weight in this cell.
+		// were counted again, they would reduce the customer's weight in this cell.
 		ShareSplitter splitter = new ShareSplitter(8, 10_000);
 		splitter.recordDemand("c1", "a", 100, 0);
 		DemandDigest outdated = new DemandDigest("c2", 1, List.of(new DemandDigest.Entry("a", 1000)));
--- a/src/test/java/io/shallotspur/cell/CellFailureTests.java
+++ b/src/test/java/io/shallotspur/cell/CellFailureTests.java
@@ -16,8 +16,8 @@
 class CellFailureTests {
 
 	/**
-	 * Time in which a suspect generates the tokens that clear it, less one step, in
-	 * milliseconds.
+	 * Time after which the isolation of a suspect of a single crash ends at the latest,
+	 * less one step, in milliseconds.
 	 */
 	private static final long ISOLATION_MS = (CellSettings.defaults().isolationTokens() - 1) * 40L;
 
@@ -233,9 +233,9 @@
 
 	@Test
 	void requestThatCrashesLateIsQuarantinedByTheThirdCrash() {
-		// The request crashes its worker after the point at which suspects are cleared,
-		// each time its caller sends it again. If it were cleared every time, each resend
-		// would crash another worker.
+		// The request crashes its worker after the end of its isolation, each time its
+		// caller sends it again. If the end of isolation erased its earlier crashes, each
+		// resend would crash another worker.
 		CellSimulation sim = cell(2, 8);
 		sim.crashingRequests.add("bad");
 		sim.crashAfterTokens = CellSettings.defaults().isolationTokens() + 10;
--- a/src/test/java/io/shallotspur/quarantine/CrashSuspectsTests.java
+++ b/src/test/java/io/shallotspur/quarantine/CrashSuspectsTests.java
@@ -16,8 +16,7 @@
 	@Test
 	void secondCrashQuarantinesOnlyThePoisonRequest() {
 		// A request crashes its worker, is retried on another one and crashes that too.
-		// It
-		// is quarantined; the requests that shared the workers are retried at most.
+		// It is quarantined; the requests that shared the workers are at most retried.
 		assertThat(this.suspects.recordCrash("w1", List.of(1L, POISON, 2L), 1_000)).isEmpty();
 		assertThat(this.suspects.isSuspect(1, 1_000)).isTrue();
 		assertThat(this.suspects.recordCrash("w2", List.of(3L, POISON), 2_000)).containsExactly(POISON);
@@ -47,9 +46,8 @@
 	@Test
 	void suspectsWithProgressDoNotHideThePoisonRequest() {
 		// After the first crash, the other requests continue to generate long responses
-		// and
-		// share a worker with the poison request again. If they weighed as much as the
-		// poison request, none would be quarantined and further workers would crash.
+		// and share a worker with the poison request again. If they weighed as much as
+		// the poison request, none would be quarantined and further workers would crash.
 		this.suspects.recordCrash("w1", List.of(1L, 2L, POISON), 0);
 		this.suspects.recordProgress(1, 1_000);
 		this.suspects.recordProgress(2, 1_000);
--- a/src/test/java/io/shallotspur/retry/RetryTests.java
+++ b/src/test/java/io/shallotspur/retry/RetryTests.java
@@ -14,8 +14,7 @@
 	void retriesAddAtMostTenPercentWhenOneThirdOfWorkersFails() {
 		// Three of nine workers lose each call immediately. If every caller retried until
 		// it got a response, 50% more calls would be sent, and other customers on the
-		// same
-		// workers would have to queue.
+		// same workers would have to queue.
 		SplittableRandom random = new SplittableRandom(7);
 		RetryBudget budget = new RetryBudget();
 		OutlierDetector detector = new OutlierDetector();
--- a/src/test/java/io/shallotspur/routing/CellLayoutTests.java
+++ b/src/test/java/io/shallotspur/routing/CellLayoutTests.java
@@ -60,8 +60,7 @@
 	@Test
 	void hallWithoutPrefillWorkersJoinsAnotherHall() {
 		// When all prefill workers of a hall are under repair, its decode workers would
-		// be
-		// idle unless they joined the cells of a hall that has prefill workers.
+		// be idle unless they joined the cells of a hall that has prefill workers.
 		List<Worker> workers = new ArrayList<>(workers("llm", "x", 6, 4));
 		workers.addAll(workers("llm", "y", 0, 5));
 		CellLayout layout = CellLayout.of(workers);
