--- a/src/main/java/io/shallotspur/ledger/LedgerLimits.java
+++ b/src/main/java/io/shallotspur/ledger/LedgerLimits.java
@@ -25,9 +25,10 @@
 		int maxInlineBytes) {
 
 	/**
-	 * Default limits: 32 shards, each written by a node at most every 100 ms, apart from
-	 * repeats after a conflict; the window is ten minutes. The number of writes does not
-	 * grow with the request rate, but with the number of nodes that write a shard.
+	 * Default limits: 32 shards, whose heads a node writes at most every 100 ms each,
+	 * apart from repeats after a conflict; the window is ten minutes. While one node
+	 * writes each shard, that is at most 320 head writes a second at any request rate,
+	 * and more if several nodes write the same shard.
 	 */
 	public static final LedgerLimits DEFAULT = new LedgerLimits(28, 4, 256, 512, 64 * 1024, 256 * 1024, 2_000, 100,
 			600_000, 60_000, 256);
